--- a/packages/damsonlane/src/damsonlane/burn/__init__.py
+++ b/packages/damsonlane/src/damsonlane/burn/__init__.py
@@ -1,6 +1,6 @@
 """Service-level burn, from durable counts of endings."""
 
-from damsonlane.burn._book import BurnBook
+from damsonlane.burn._buckets import BurnBook
 from damsonlane.burn._counts import COARSE_SECONDS, FINE_SECONDS, EndingCount
 from damsonlane.burn._report import Burn, Window, list_windows, measure_burn
 
--- a/packages/damsonlane/src/damsonlane/costs/__init__.py
+++ b/packages/damsonlane/src/damsonlane/costs/__init__.py
@@ -1,6 +1,6 @@
 """Cost by stage: lines from entries, totals in the replicated state."""
 
-from damsonlane.costs._book import CostBook
+from damsonlane.costs._accounts import CostBook
 from damsonlane.costs._lines import (
     AttemptOutcome,
     CostLine,
--- a/packages/damsonlane/src/damsonlane/quarantine/__init__.py
+++ b/packages/damsonlane/src/damsonlane/quarantine/__init__.py
@@ -4,8 +4,17 @@
 that were served; what leaves is the list of requests that no target is to get.
 """
 
-from damsonlane.quarantine._blame import ENDS_TO_HOLD, ENDS_TO_HOLD_ALIKE
-from damsonlane.quarantine._book import (
+from damsonlane.quarantine._attribution import ENDS_TO_HOLD, ENDS_TO_HOLD_ALIKE
+from damsonlane.quarantine._exits import (
+    BrokenRun,
+    ForgetTargetEnds,
+    NoteSurvived,
+    NoteTargetEnd,
+    ReleaseRequest,
+    TargetEnd,
+)
+from damsonlane.quarantine._fingerprint import find_fingerprint
+from damsonlane.quarantine._registry import (
     COUNTED_SECONDS,
     MOST_ENDS,
     HeldRequest,
@@ -15,15 +24,6 @@
     QuarantineNoted,
     QuarantineSnapshot,
 )
-from damsonlane.quarantine._ends import (
-    BrokenRun,
-    ForgetTargetEnds,
-    NoteSurvived,
-    NoteTargetEnd,
-    ReleaseRequest,
-    TargetEnd,
-)
-from damsonlane.quarantine._fingerprint import find_fingerprint
 from damsonlane.quarantine._served import SERVED_SECONDS, ServedLately
 
 __all__ = [
--- a/packages/damsonlane/src/damsonlane/quarantine/_blame.py
+++ b/packages/damsonlane/src/damsonlane/quarantine/_attribution.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 from typing import Final
 
-from damsonlane.quarantine._ends import TargetEnd
+from damsonlane.quarantine._exits import TargetEnd
 
 #: Targets that end under a request before it is kept from them.  With two, requests that were
 #: resumed once beside a deadly one would be kept back too: in a recorded burst of 17 ends five
--- a/packages/damsonlane/src/damsonlane/quarantine/_book.py
+++ b/packages/damsonlane/src/damsonlane/quarantine/_registry.py
@@ -4,14 +4,14 @@
 from dataclasses import dataclass, replace
 from typing import Final, Literal
 
-from damsonlane.quarantine._blame import (
+from damsonlane.quarantine._attribution import (
     ENDS_TO_HOLD,
     EndsByIdentity,
     find_blamed,
     find_oldest_unneeded,
     list_suspects,
 )
-from damsonlane.quarantine._ends import (
+from damsonlane.quarantine._exits import (
     BrokenRun,
     ForgetTargetEnds,
     NoteSurvived,
--- a/packages/damsonlane/src/damsonlane/ratelimit/__init__.py
+++ b/packages/damsonlane/src/damsonlane/ratelimit/__init__.py
@@ -1,6 +1,5 @@
 """Rate limits: targets that name how many requests a second they take from all boxes."""
 
-from damsonlane.ratelimit._book import UNBOUND_RATE, RateLimitBook
 from damsonlane.ratelimit._bucket import RateBucket
 from damsonlane.ratelimit._issuer import (
     LEAST_RATE,
@@ -16,7 +15,8 @@
     list_changes,
     list_untold,
 )
-from damsonlane.ratelimit._word import RateWord
+from damsonlane.ratelimit._report import RateWord
+from damsonlane.ratelimit._table import UNBOUND_RATE, RateLimitBook
 
 __all__ = [
     "LEAST_RATE",
--- a/packages/damsonlane/src/damsonlane/ratelimit/_issuer.py
+++ b/packages/damsonlane/src/damsonlane/ratelimit/_issuer.py
@@ -10,9 +10,9 @@
 from typing import Final
 
 from damsonlane.backoff import TargetStart
-from damsonlane.ratelimit._book import UNBOUND_RATE, RateLimitBook
 from damsonlane.ratelimit._bucket import SAVED_SECONDS, RateBucket
 from damsonlane.ratelimit._permits import Permit, PermitOrder
+from damsonlane.ratelimit._table import UNBOUND_RATE, RateLimitBook
 
 #: Lowest rate that is taken at its word, in requests a second.  A target that names less, or
 #: none at all, is asked this often whether that still holds, since only an answer can end a
--- a/packages/damsonlane/src/damsonlane/ratelimit/_permits.py
+++ b/packages/damsonlane/src/damsonlane/ratelimit/_permits.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from damsonlane.backoff import TargetStart
-from damsonlane.ratelimit._word import RateWord
+from damsonlane.ratelimit._report import RateWord
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/packages/damsonlane/src/damsonlane/ratelimit/_registry.py
+++ b/packages/damsonlane/src/damsonlane/ratelimit/_registry.py
@@ -9,8 +9,8 @@
 from typing import Final, Literal
 
 from damsonlane.backoff import TargetStart
-from damsonlane.ratelimit._book import RateLimitBook
-from damsonlane.ratelimit._word import RateWord
+from damsonlane.ratelimit._report import RateWord
+from damsonlane.ratelimit._table import RateLimitBook
 
 #: Times the listed rate by which a rate must differ to be told anew: who asks the owner for
 #: permits need not know it exactly, and one that takes over hears it with the first order.
--- a/packages/damsonlane/src/damsonlane/ratelimit/_book.py
+++ b/packages/damsonlane/src/damsonlane/ratelimit/_table.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 from damsonlane.backoff import TargetStart
-from damsonlane.ratelimit._word import RateWord
+from damsonlane.ratelimit._report import RateWord
 
 #: Rate from which on a limit binds nobody, in requests a second: no target is sent so many.
 UNBOUND_RATE: Final = 1_000.0
--- a/packages/damsonlane/src/damsonlane/routing/__init__.py
+++ b/packages/damsonlane/src/damsonlane/routing/__init__.py
@@ -1,6 +1,6 @@
 """Routing: which target of a service gets a request."""
 
-from damsonlane.routing._book import Choice, Health, LoadReport, Standing, TargetBook
+from damsonlane.routing._partition import Place, PromptSides
 from damsonlane.routing._policies import (
     POLICIES,
     RoutingPolicy,
@@ -8,7 +8,7 @@
     rank_target,
     routing_policy,
 )
-from damsonlane.routing._sides import Place, PromptSides
+from damsonlane.routing._table import Choice, Health, LoadReport, Standing, TargetBook
 from damsonlane.routing._views import Origin, TargetView
 
 __all__ = [
--- a/packages/damsonlane/src/damsonlane/routing/tests/test_sides.py
+++ b/packages/damsonlane/src/damsonlane/routing/tests/test_partition.py
@@ -4,7 +4,7 @@
 from collections import Counter
 
 from damsonlane.routing import Place, PromptSides
-from damsonlane.routing._sides import LONG_PROMPT_TOKENS
+from damsonlane.routing._partition import LONG_PROMPT_TOKENS
 
 _SHORT = LONG_PROMPT_TOKENS - 1
 _LONG = LONG_PROMPT_TOKENS
--- a/packages/damsonlaned/src/damsonlaned/quarantine/__init__.py
+++ b/packages/damsonlaned/src/damsonlaned/quarantine/__init__.py
@@ -4,10 +4,10 @@
 control holds; what leaves is whether a request may go to targets.
 """
 
+from damsonlaned.quarantine._client import QuarantineClient
 from damsonlaned.quarantine._known import KnownQuarantine
-from damsonlaned.quarantine._look import LOOK_AGAIN_SECONDS, LostTarget, refuses_connections
+from damsonlaned.quarantine._probe import LOOK_AGAIN_SECONDS, LostTarget, refuses_connections
 from damsonlaned.quarantine._quarantine import Quarantine, Report, find_retry_seconds
-from damsonlaned.quarantine._submit import QuarantineClient
 
 __all__ = [
     "LOOK_AGAIN_SECONDS",
--- a/packages/damsonlaned/src/damsonlaned/quarantine/_quarantine.py
+++ b/packages/damsonlaned/src/damsonlaned/quarantine/_quarantine.py
@@ -18,7 +18,7 @@
     ServedLately,
 )
 from damsonlaned.quarantine._known import KnownQuarantine
-from damsonlaned.quarantine._look import LostTarget
+from damsonlaned.quarantine._probe import LostTarget
 from damsonlaned.tasks import start_task
 
 _LOG: Final = logging.getLogger(__name__)
