--- a/packages/damsonlane/src/damsonlane/ratelimit/__init__.py
+++ b/packages/damsonlane/src/damsonlane/ratelimit/__init__.py
@@ -1,8 +1,8 @@
-"""Rate limits: targets that name how many requests a second they take from all boxes."""
+"""Rate limits that targets announce: requests a second from all boxes together."""
 
 from damsonlane.ratelimit._bucket import RateBucket
 from damsonlane.ratelimit._issuer import (
-    LEAST_RATE,
+    MIN_RATE,
     SECOND_SHARE,
     PermitIssuer,
 )
@@ -16,12 +16,12 @@
     list_untold,
 )
 from damsonlane.ratelimit._report import RateWord
-from damsonlane.ratelimit._table import UNBOUND_RATE, RateLimitBook
+from damsonlane.ratelimit._table import UNLIMITED_RATE, RateLimitBook
 
 __all__ = [
-    "LEAST_RATE",
+    "MIN_RATE",
     "SECOND_SHARE",
-    "UNBOUND_RATE",
+    "UNLIMITED_RATE",
     "NoteRateLimits",
     "Permit",
     "PermitIssuer",
--- a/packages/damsonlane/src/damsonlane/ratelimit/_bucket.py
+++ b/packages/damsonlane/src/damsonlane/ratelimit/_bucket.py
@@ -1,18 +1,18 @@
-"""Counting what may be sent to one target that named a rate limit."""
+"""A token bucket for one target that announced a rate limit."""
 
 from typing import Final
 
-#: Seconds' worth of a rate that may be saved up while nobody wants it, besides one request.
-#: More would not fit: a target bears half as much again as its rate, and five requests, in any
-#: four seconds, and of that a second owner's permits and late uses need their part.
-SAVED_SECONDS: Final = 0.5
+#: Burst capacity in seconds of the rate, in addition to one request.  A target tolerates 1.5
+#: times its rate plus five requests in any four seconds, and the permits of a second owner and
+#: permits that are used late need a part of that, which limits the burst.
+BURST_SECONDS: Final = 0.5
 
 
 class RateBucket:
     """A token bucket for requests to one target.
 
-    It starts empty, since what other boxes sent before is not known here: for a moment a
-    target gets too little rather than too much.
+    It starts empty, since what other boxes have sent is not known here: a full bucket could
+    exceed the limit.
 
     Args:
         rate: requests a second.
@@ -22,31 +22,31 @@
     def __init__(self, rate: float, now: float) -> None:
         self._rate = rate
         self._tokens = 0.0
-        self._filled_at = now
+        self._refilled_at = now
 
     def set_rate(self, rate: float, now: float) -> None:
-        """Go on at another rate."""
-        self._fill(now)
+        """Change the rate, keeping the tokens up to the new capacity."""
+        self._refill(now)
         self._rate = rate
-        self._tokens = min(self._tokens, self._most())
+        self._tokens = min(self._tokens, self._capacity())
 
     def wait_seconds(self, now: float) -> float:
-        """Return the seconds until one more request may be sent; 0 if it may be now."""
-        self._fill(now)
+        """Return the seconds until one more request may be sent; 0 if it may be sent now."""
+        self._refill(now)
         return max(0.0, (1.0 - self._tokens) / self._rate)
 
     def take(self, now: float) -> bool:
-        """Count a request that is sent now; tell whether it may be."""
+        """Take a token for a request that is sent now; return whether there was one."""
         if self.wait_seconds(now) > 0:
             return False
         self._tokens -= 1.0
         return True
 
-    def _fill(self, now: float) -> None:
-        passed = max(0.0, now - self._filled_at)
-        # Rounding must not keep a request back for a moment more when its time has come.
-        self._tokens = min(self._most(), self._tokens + passed * self._rate + 1e-9)
-        self._filled_at = now
+    def _refill(self, now: float) -> None:
+        elapsed = max(0.0, now - self._refilled_at)
+        # The small addition keeps rounding from delaying a request whose token is due.
+        self._tokens = min(self._capacity(), self._tokens + elapsed * self._rate + 1e-9)
+        self._refilled_at = now
 
-    def _most(self) -> float:
-        return 1.0 + SAVED_SECONDS * self._rate
+    def _capacity(self) -> float:
+        return 1.0 + BURST_SECONDS * self._rate
--- a/packages/damsonlane/src/damsonlane/ratelimit/_permits.py
+++ b/packages/damsonlane/src/damsonlane/ratelimit/_permits.py
@@ -1,4 +1,4 @@
-"""Asking for permits to send requests to targets that named rate limits."""
+"""Permits to send requests to targets that announced rate limits."""
 
 from dataclasses import dataclass
 
@@ -8,32 +8,32 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PermitOrder:
-    """A box asks to send one request to one of some targets."""
+    """A box's request for a permit to send one request to one of several targets."""
 
-    #: Chosen by the sender; the permit carries it back.
+    #: Chosen by the sender; repeated in the permit.
     number: int
-    #: Targets that could get the request, the best one first.
+    #: Targets that could get the request, in order of preference.
     targets: tuple[TargetStart, ...]
-    #: Whether no other target could get it, so that its caller is refused without a permit.
+    #: Whether no other target could get it, so that without a permit the caller is refused.
     is_last: bool = False
-    #: Whether the request only begins now and is sent later: it is asked whether it should
-    #: begin, since so many may as are sent in the end.
+    #: Whether this asks for admission of a request that is sent later, once its stages are
+    #: computed.
     is_beginning: bool = False
 
 
 @dataclass(frozen=True, kw_only=True)
 class Permit:
-    """What a box may send."""
+    """The answer to an order: what a box may send."""
 
     #: Number of the order.
     number: int
     #: Name of the target that may get the request now; empty for none.
     target: str = ""
-    #: Whether a request that only begins may do so.
+    #: Whether a request that asked for admission is admitted.
     may_begin: bool = False
     #: Seconds until one of the targets may get a request.
     wait_seconds: float = 0.0
-    #: Seconds after which the caller should come back, if it is refused.
+    #: Seconds after which the caller should retry, if it is refused.
     return_seconds: float = 0.0
-    #: What the owner knows of the target, if it is newer there.
+    #: What the owner knows of the target's limit.
     words: tuple[RateWord, ...] = ()
--- a/packages/damsonlane/src/damsonlane/ratelimit/_registry.py
+++ b/packages/damsonlane/src/damsonlane/ratelimit/_registry.py
@@ -1,8 +1,8 @@
-"""The targets that named rate limits, as control tells all boxes.
+"""The replicated list of the rate limits that targets announced.
 
-A box that has not heard a target itself would send it requests without a permit until its first
-answer, and a fleet of hundreds would send hundreds.  So the beginning and the end of a limit are
-replicated; the rate in force between is known to the owner of the service.
+Without it, a box that has had no answer from a target would send it requests without permits,
+and hundreds of boxes would send hundreds.  Only the start and the end of a limit and large changes
+of the rate are replicated; the owner of the service knows the current rate.
 """
 
 from dataclasses import dataclass
@@ -12,19 +12,19 @@
 from damsonlane.ratelimit._report import RateWord
 from damsonlane.ratelimit._table import RateLimitBook
 
-#: Times the listed rate by which a rate must differ to be told anew: who asks the owner for
-#: permits need not know it exactly, and one that takes over hears it with the first order.
-TOLD_CHANGE: Final = 1.5
-#: Limits that are kept at most, the newest ones.
-MOST_LIMITS: Final = 4_096
+#: Ratio by which a rate must differ from the listed one to be reported again.  Boxes that ask the
+#: owner for permits need not know the exact rate, and a new owner gets it with the first order.
+MIN_CHANGE_RATIO: Final = 1.5
+#: Most limits that are kept; the oldest ones are dropped.
+MAX_LIMITS: Final = 4_096
 
 
 @dataclass(frozen=True, kw_only=True)
 class NoteRateLimits:
-    """Targets named limits, or named none any more."""
+    """Command: record that targets announced limits, or ended them."""
 
     kind: Literal["note-rate-limits"] = "note-rate-limits"
-    #: What they said.
+    #: What they announced.
     words: tuple[RateWord, ...]
 
 
@@ -39,55 +39,60 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RateLimitList:
-    """All limits at a revision; what boxes are told, and what a snapshot holds."""
+    """All limits at a revision, as sent to boxes and stored in snapshots."""
 
-    #: Number of changes that led there; a lower one is older.
+    #: Number of changes so far; a lower one is older.
     revision: int = 0
-    #: The limits that hold.
+    #: The limits in force.
     words: tuple[RateWord, ...] = ()
 
 
 class RateLimitRegistry:
-    """Applies what is noted of limits."""
+    """Applies committed commands about rate limits."""
 
     def __init__(self, snapshot: RateLimitList | None = None) -> None:
         start = snapshot or RateLimitList()
         self.revision = start.revision
-        self._words = {word.named: word for word in start.words}
+        self._reports = {report.named: report for report in start.words}
 
     def list_all(self) -> RateLimitList:
         """Return all limits."""
-        return RateLimitList(revision=self.revision, words=tuple(self._words.values()))
+        return RateLimitList(revision=self.revision, words=tuple(self._reports.values()))
 
     def apply(self, command: NoteRateLimits) -> RateLimitsNoted:
         """Apply one command."""
-        before = dict(self._words)
-        for word in command.words:
-            self._words.pop(word.named, None)
-            if word.rate is not None:
-                self._words[word.named] = RateWord(named=word.named, rate=word.rate)
-        for named in list(self._words)[:-MOST_LIMITS]:
-            del self._words[named]
-        return RateLimitsNoted(is_changed=self._note_change(before))
+        before = dict(self._reports)
+        for report in command.words:
+            self._reports.pop(report.named, None)
+            if report.rate is not None:
+                self._reports[report.named] = RateWord(named=report.named, rate=report.rate)
+        for named in list(self._reports)[:-MAX_LIMITS]:
+            del self._reports[named]
+        return RateLimitsNoted(is_changed=self._count_change(before))
 
     def forget(self, target: str, start: int = -1) -> None:
-        """Forget the limits of a target, but for one start of it."""
-        before = dict(self._words)
+        """Remove the limits of a target, except those of one incarnation.
+
+        Args:
+            target: name of the target.
+            start: the start of the incarnation to keep; -1 for none.
+        """
+        before = dict(self._reports)
         for named in before:
             if named.target == target and named.start != start:
-                del self._words[named]
-        self._note_change(before)
+                del self._reports[named]
+        self._count_change(before)
 
-    def _note_change(self, before: dict[TargetStart, RateWord]) -> bool:
-        is_changed = before != self._words
+    def _count_change(self, before: dict[TargetStart, RateWord]) -> bool:
+        is_changed = before != self._reports
         self.revision += is_changed
         return is_changed
 
 
 def list_changes(before: RateLimitList, after: RateLimitList) -> tuple[RateWord, ...]:
-    """Return what one list says otherwise than an older one: heard by some box just now."""
-    old = {word.named: word.rate for word in before.words}
-    new = {word.named: word.rate for word in after.words}
+    """Return the limits that changed from one list to a newer one, with age 0."""
+    old = {report.named: report.rate for report in before.words}
+    new = {report.named: report.rate for report in after.words}
     return tuple(
         RateWord(named=named, rate=new.get(named))
         for named in old.keys() | new.keys()
@@ -95,24 +100,26 @@
     )
 
 
-def list_untold(book: RateLimitBook, told: RateLimitList, now: float) -> tuple[RateWord, ...]:
-    """Return what a box has heard that all boxes should be told.
+def list_untold(book: RateLimitBook, listed: RateLimitList, now: float) -> tuple[RateWord, ...]:
+    """Return the limits that a box knows and that control should report to all boxes.
 
     Args:
-        book: what it has heard.
-        told: what all are told so far.
+        book: the limits that the box knows.
+        listed: the current replicated list.
         now: the time by the box's clock.
     """
-    rates = {word.named: word.rate for word in told.words}
-    heard = {word.named: word for word in book.list_words(now)}
-    begun = [word for word in heard.values() if _differs(rates.get(word.named), word.rate)]
-    ended = [named for named in rates if named not in heard and book.knows(named)]
-    return (*begun, *(RateWord(named=named, rate=None) for named in ended))
-
-
-def _differs(told: float | None, heard: float | None) -> bool:
-    """Tell whether a rate differs from the one that all were told."""
-    if told is None or heard is None:
-        return told != heard
-    low, high = sorted((told, heard))
-    return high > TOLD_CHANGE * low
+    rates = {report.named: report.rate for report in listed.words}
+    known = {report.named: report for report in book.list_words(now)}
+    changed = [
+        report for report in known.values() if _differs(rates.get(report.named), report.rate)
+    ]
+    ended = [named for named in rates if named not in known and book.has_report(named)]
+    return (*changed, *(RateWord(named=named, rate=None) for named in ended))
+
+
+def _differs(listed: float | None, known: float | None) -> bool:
+    """Return whether a rate differs from the listed one by enough to report it."""
+    if listed is None or known is None:
+        return listed != known
+    low, high = sorted((listed, known))
+    return high > MIN_CHANGE_RATIO * low
--- a/packages/damsonlane/src/damsonlane/ratelimit/_report.py
+++ b/packages/damsonlane/src/damsonlane/ratelimit/_report.py
@@ -1,4 +1,4 @@
-"""What one start of a target last said of its rate limit."""
+"""The rate limit that one incarnation of a target last announced."""
 
 from dataclasses import dataclass
 
@@ -7,11 +7,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RateWord:
-    """What a target said, as one box tells another."""
+    """The limit that a target announced, as one box reports it to another."""
 
-    #: The start that said it.
+    #: The incarnation that announced it.
     named: TargetStart
-    #: Requests a second that it takes from all boxes together; None where it names no limit.
+    #: Requests a second that it accepts from all boxes together; None where it announces no
+    #: limit.
     rate: float | None
-    #: Seconds since it said so.
+    #: Seconds since the target announced it.
     age: float = 0.0
--- a/packages/damsonlane/src/damsonlane/ratelimit/_table.py
+++ b/packages/damsonlane/src/damsonlane/ratelimit/_table.py
@@ -1,4 +1,4 @@
-"""Which targets named a rate limit, as this box last heard."""
+"""Table of the rate limits that targets announced, as last reported to this box."""
 
 from collections.abc import Collection
 from dataclasses import dataclass
@@ -7,81 +7,90 @@
 from damsonlane.backoff import TargetStart
 from damsonlane.ratelimit._report import RateWord
 
-#: Rate from which on a limit binds nobody, in requests a second: no target is sent so many.
-UNBOUND_RATE: Final = 1_000.0
-#: Seconds for which the end of a limit is remembered, so that word of it that another box
-#: sends late does not bring it back.
-ENDED_SECONDS: Final = 60.0
+#: Rate in requests a second at and above which a limit has no effect: no target is sent that
+#: many requests.
+UNLIMITED_RATE: Final = 1_000.0
+#: Seconds for which the end of a limit is remembered, so that a delayed report from another box
+#: does not restore it.
+TOMBSTONE_SECONDS: Final = 60.0
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Heard:
-    """What was heard last of one start of a target."""
+class _StoredLimit:
+    """The newest report about one incarnation of a target."""
 
-    #: Requests a second; None once it names no limit any more.
+    #: Requests a second; None once it announces no limit any more.
     rate: float | None
-    #: When it said so, by the box's clock.
+    #: When the target announced it, by the box's clock.
     at: float
 
 
 class RateLimitBook:
-    """The newest word of each target, from its own answers or from other boxes."""
+    """The newest report of each target, from its own answers or from other boxes."""
 
     def __init__(self) -> None:
-        self._heard: dict[TargetStart, _Heard] = {}
+        self._limits: dict[TargetStart, _StoredLimit] = {}
 
-    def note(self, word: RateWord, now: float) -> bool:
-        """Note what a target said, unless something newer is known; tell whether it is news.
+    def note(self, report: RateWord, now: float) -> bool:
+        """Record what a target announced, unless a newer report is known.
 
         Args:
-            word: what it said.
+            report: what it announced.
             now: the time by the box's clock.
+
+        Returns:
+            Whether the rate differs from the one known before.
         """
-        at = now - word.age
-        known = self._heard.get(word.named)
-        if known is None and word.rate is None:
+        at = now - report.age
+        known = self._limits.get(report.named)
+        if known is None and report.rate is None:
             return False
         if known is not None and at < known.at:
             return False
-        self._heard[word.named] = _Heard(rate=word.rate, at=at)
-        return known is None or known.rate != word.rate
+        self._limits[report.named] = _StoredLimit(rate=report.rate, at=at)
+        return known is None or known.rate != report.rate
 
     def find_rate(self, named: TargetStart) -> float | None:
-        """Return the requests a second that a target takes; None where it names no limit."""
-        heard = self._heard.get(named)
-        return heard.rate if heard is not None else None
+        """Return the requests a second that a target accepts; None where it announces no limit."""
+        limit = self._limits.get(named)
+        return limit.rate if limit is not None else None
 
     def is_limited(self, named: TargetStart) -> bool:
-        """Tell whether a target named a limit that binds."""
+        """Return whether a target announced a limit that has an effect."""
         rate = self.find_rate(named)
-        return rate is not None and rate < UNBOUND_RATE
+        return rate is not None and rate < UNLIMITED_RATE
 
-    def knows(self, named: TargetStart) -> bool:
-        """Tell whether a target is known to have named a limit, or to have ended one."""
-        return named in self._heard
+    def has_report(self, named: TargetStart) -> bool:
+        """Return whether a target is known to have announced or ended a limit."""
+        return named in self._limits
 
     def is_empty(self) -> bool:
-        """Tell whether no target named a limit lately."""
-        return not self._heard
+        """Return whether no limit or recent end of a limit is recorded."""
+        return not self._limits
 
     def list_words(self, now: float) -> tuple[RateWord, ...]:
-        """Return the limits that hold, as another box is told of them."""
+        """Return the limits in force, as reported to other boxes."""
         return tuple(
-            RateWord(named=named, rate=heard.rate, age=max(0.0, now - heard.at))
-            for named, heard in self._heard.items()
-            if heard.rate is not None
+            RateWord(named=named, rate=limit.rate, age=max(0.0, now - limit.at))
+            for named, limit in self._limits.items()
+            if limit.rate is not None
         )
 
     def find_word(self, named: TargetStart, now: float) -> RateWord:
-        """Return what is known of a target, as another box is told of it."""
-        heard = self._heard.get(named)
-        if heard is None:
+        """Return the limit of a target, as reported to other boxes."""
+        limit = self._limits.get(named)
+        if limit is None:
             return RateWord(named=named, rate=None)
-        return RateWord(named=named, rate=heard.rate, age=max(0.0, now - heard.at))
+        return RateWord(named=named, rate=limit.rate, age=max(0.0, now - limit.at))
 
     def forget_others(self, known: Collection[TargetStart], now: float) -> None:
-        """Forget starts that control lists no more, and limits that ended long ago."""
-        for named, heard in list(self._heard.items()):
-            is_old = heard.rate is None and now - heard.at > ENDED_SECONDS
+        """Drop incarnations that control no longer lists, and limits that ended long ago.
+
+        Args:
+            known: the incarnations to keep.
+            now: the time by the box's clock.
+        """
+        for named, limit in list(self._limits.items()):
+            is_old = limit.rate is None and now - limit.at > TOMBSTONE_SECONDS
             if named not in known or is_old:
-                del self._heard[named]
+                del self._limits[named]
--- a/packages/damsonlane/src/damsonlane/ratelimit/tests/replay.py
+++ b/packages/damsonlane/src/damsonlane/ratelimit/tests/replay.py
@@ -1,7 +1,7 @@
-"""Boxes that share what one target takes, in virtual time and by seed.
+"""Simulation of boxes that share the rate limit of one target, in virtual time and by seed.
 
-Only the ways to share are real.  Requests arrive at boxes at random, messages between boxes take
-a millisecond or more, and what may not be sent is refused.
+Requests arrive at random, messages between boxes have a latency, and requests that may not be sent
+are refused.
 """
 
 import heapq
@@ -24,14 +24,15 @@
 
 #: The target.
 TARGET: Final = TargetStart(target="t", address="127.0.0.1:1")
-#: Seconds that a message between two boxes takes.
-MESSAGE_SECONDS: Final = 0.0015
-#: Seconds over which requests are counted, how often the rate fits into them, and how many more.
-WINDOW: Final = 4.0
-TIMES: Final = 1.5
-MORE: Final = 5.0
-#: Seconds until all boxes hear that one is gone, and until they hear that one joined.
-GONE_SECONDS: Final = 6.0
+#: Latency of a message between two boxes, in seconds.
+LATENCY_SECONDS: Final = 0.0015
+#: Window over which requests are counted, and what a target tolerates in it: a multiple of its
+#: rate, and a number of requests in addition.
+WINDOW_SECONDS: Final = 4.0
+TOLERATED_RATIO: Final = 1.5
+TOLERATED_EXTRA: Final = 5.0
+#: Seconds until all boxes know that one is gone, and until they know that one joined.
+FAILOVER_SECONDS: Final = 6.0
 JOINED_SECONDS: Final = 0.3
 
 
@@ -39,20 +40,20 @@
 class Load:
     """A load pattern."""
 
-    #: Requests a second that the target takes.
+    #: Requests a second that the target accepts.
     rate: float
-    #: Requests a second at each box that would go there.
+    #: Requests a second at each box that need the target.
     wanted: tuple[float, ...]
     #: Length, in seconds.
     seconds: float = 60.0
-    #: When the box that shares is killed, and how long it is gone; None for never.
+    #: When the owner is killed, None for never; and for how long it is gone.
     killed_at: float | None = None
     gone_seconds: float = 8.0
 
 
 @dataclass(kw_only=True)
 class Outcome:
-    """What came of it."""
+    """What a simulation recorded."""
 
     #: When requests reached the target.
     times: list[float] = field(default_factory=list)
@@ -60,24 +61,24 @@
     messages: int = 0
 
     def count_most(self) -> int:
-        """Return the most requests in some four seconds."""
+        """Return the largest number of requests within any window."""
         times = sorted(self.times)
         last = 0
-        most = 0
+        largest = 0
         for index, at in enumerate(times):
-            while times[last] <= at - WINDOW:
+            while times[last] <= at - WINDOW_SECONDS:
                 last += 1
-            most = max(most, index - last + 1)
-        return most
+            largest = max(largest, index - last + 1)
+        return largest
 
     def used_share(self, load: Load, after: float = 0.0) -> float:
-        """Return the part of the rate that was used from some second on."""
+        """Return the share of the rate that was used after a time."""
         served = sum(at >= after for at in self.times)
         return served / (load.rate * (load.seconds - after))
 
 
-class Way(ABC):
-    """A way to share a rate among boxes."""
+class SharingStrategy(ABC):
+    """A strategy to share a rate among boxes."""
 
     def __init__(self, load: Load, outcome: Outcome) -> None:
         self.load = load
@@ -85,11 +86,11 @@
 
     @abstractmethod
     def find_send_time(self, box: int, now: float) -> float | None:
-        """Return when a request that a box has now may be sent; None if it is refused."""
+        """Return when a request at a box may be sent; None if it is refused."""
 
 
-class EvenSplit(Way):
-    """Each box has its part, with one request saved up at the most."""
+class EvenSplit(SharingStrategy):
+    """Each box has a token bucket with an equal share of the rate."""
 
     def __init__(self, load: Load, outcome: Outcome) -> None:
         super().__init__(load, outcome)
@@ -100,10 +101,10 @@
         return now if self._buckets[box].take(now) else None
 
 
-class Adaptive(Way):
-    """Each box raises its rate while it is not told off, and halves it when it is.
+class Adaptive(SharingStrategy):
+    """Each box raises its rate additively and halves it when the target signals overload.
 
-    The target tells a box that asks while it has had more than its rate lately.
+    The target signals overload while it got more requests than its rate in the last second.
     """
 
     def __init__(self, load: Load, outcome: Outcome) -> None:
@@ -124,8 +125,8 @@
         return now
 
 
-class Permits(Way):
-    """The owner issues a permit for each request; the next one does while it is gone."""
+class Permits(SharingStrategy):
+    """The owner issues a permit for each request; another box does while the owner is gone."""
 
     def __init__(self, load: Load, outcome: Outcome) -> None:
         super().__init__(load, outcome)
@@ -135,15 +136,15 @@
         issuer, share = self._find_issuer(now)
         self.outcome.messages += 2
         order = PermitOrder(number=1, targets=(TARGET,))
-        permit = self._issuers[issuer].issue("s", order, share, now + MESSAGE_SECONDS)
-        return now + 2 * MESSAGE_SECONDS if permit.target else None
+        permit = self._issuers[issuer].issue("s", order, share, now + LATENCY_SECONDS)
+        return now + 2 * LATENCY_SECONDS if permit.target else None
 
     def _find_issuer(self, now: float) -> tuple[int, float]:
-        """Return who is asked now, and the part of the rate that it issues."""
+        """Return the issuing box and the share of the rate that it issues."""
         killed_at = self.load.killed_at
         if killed_at is None or now < killed_at:
             return 0, 1.0
-        if now < killed_at + GONE_SECONDS:
+        if now < killed_at + FAILOVER_SECONDS:
             return 1, SECOND_SHARE
         return 1, 1.0
 
@@ -154,43 +155,45 @@
 
 
 class Leases(Permits):
-    """The owner hands out permits for half a second's worth at once, to use within that time."""
+    """The owner issues permits for half a second at once, which expire after that time."""
 
     def __init__(self, load: Load, outcome: Outcome) -> None:
         super().__init__(load, outcome)
-        self._held: list[list[float]] = [[] for _ in load.wanted]
+        self._leases: list[list[float]] = [[] for _ in load.wanted]
 
     def find_send_time(self, box: int, now: float) -> float | None:
-        held = [until for until in self._held[box] if until > now]
-        if not held:
+        leases = [until for until in self._leases[box] if until > now]
+        if not leases:
             self.outcome.messages += 2
             issuer, share = self._find_issuer(now)
             for _ in range(max(1, int(0.5 * self.load.rate))):
                 order = PermitOrder(number=1, targets=(TARGET,))
                 if not self._issuers[issuer].issue("s", order, share, now).target:
                     break
-                held.append(now + 0.5)
-        self._held[box] = held[1:]
-        return now + 2 * MESSAGE_SECONDS if held else None
+                leases.append(now + 0.5)
+        self._leases[box] = leases[1:]
+        return now + 2 * LATENCY_SECONDS if leases else None
 
 
-def play(way: Callable[[Load, Outcome], Way], load: Load, seed: int) -> Outcome:
-    """Play a load with a way to share."""
+def simulate(
+    strategy: Callable[[Load, Outcome], SharingStrategy], load: Load, seed: int
+) -> Outcome:
+    """Simulate a load with a sharing strategy."""
     randomness = random.Random(seed)
     outcome = Outcome()
-    sharing = way(load, outcome)
-    numbers = itertools.count()
+    chosen = strategy(load, outcome)
+    tie_breaks = itertools.count()
     arrivals: list[tuple[float, int, int]] = []
     for box, wanted in enumerate(load.wanted):
         if wanted > 0:
-            heapq.heappush(arrivals, (randomness.expovariate(wanted), next(numbers), box))
+            heapq.heappush(arrivals, (randomness.expovariate(wanted), next(tie_breaks), box))
     while arrivals:
         now, _, box = heapq.heappop(arrivals)
         if now >= load.seconds:
             continue
-        later = now + randomness.expovariate(load.wanted[box])
-        heapq.heappush(arrivals, (later, next(numbers), box))
-        at = sharing.find_send_time(box, now)
+        next_at = now + randomness.expovariate(load.wanted[box])
+        heapq.heappush(arrivals, (next_at, next(tie_breaks), box))
+        at = chosen.find_send_time(box, now)
         if at is not None:
             outcome.times.append(at)
     return outcome
--- a/packages/damsonlane/src/damsonlane/ratelimit/tests/test_issuer.py
+++ b/packages/damsonlane/src/damsonlane/ratelimit/tests/test_issuer.py
@@ -1,4 +1,4 @@
-"""Permits for requests to targets that named rate limits."""
+"""Permits for requests to targets that announced rate limits."""
 
 import unittest
 from collections.abc import Sequence
@@ -9,9 +9,9 @@
 
 from damsonlane.backoff import TargetStart
 from damsonlane.ratelimit import (
-    LEAST_RATE,
+    MIN_RATE,
     SECOND_SHARE,
-    UNBOUND_RATE,
+    UNLIMITED_RATE,
     PermitIssuer,
     PermitOrder,
     RateBucket,
@@ -31,18 +31,18 @@
         self.assertTrue(bucket.take(0.5))
         self.assertFalse(bucket.take(0.9))
 
-    def test_what_nobody_wanted_is_saved_for_half_a_second(self) -> None:
+    def test_unused_tokens_accumulate_up_to_the_burst(self) -> None:
         bucket = RateBucket(4.0, 0.0)
         taken = [bucket.take(100.0) for _ in range(5)]
         self.assertEqual(taken.count(True), 3)
 
-    def test_a_lower_rate_holds_at_once(self) -> None:
+    def test_a_lower_rate_applies_at_once(self) -> None:
         bucket = RateBucket(10.0, 0.0)
         bucket.set_rate(0.1, 100.0)
         self.assertTrue(bucket.take(100.0))
         self.assertFalse(bucket.take(101.0))
 
-    def test_a_clock_that_goes_back_gives_nothing(self) -> None:
+    def test_a_clock_that_goes_back_adds_no_tokens(self) -> None:
         bucket = RateBucket(1.0, 100.0)
         self.assertFalse(bucket.take(50.0))
         self.assertFalse(bucket.take(50.5))
@@ -54,41 +54,46 @@
         self.book = RateLimitBook()
         self.issuer = PermitIssuer(self.book)
 
-    def name(self, rate: float | None, now: float = 0.0, named: TargetStart = DESK) -> None:
+    def announce(self, rate: float | None, now: float = 0.0, named: TargetStart = DESK) -> None:
         self.book.note(RateWord(named=named, rate=rate), now)
         self.issuer.wait_seconds(named, 1.0, now)
 
     def count(self, times: Sequence[float], named: TargetStart = DESK) -> int:
         return sum(self.issuer.take(named, 1.0, at) for at in times)
 
-    def test_odd_rates(self) -> None:
+    def test_rates_below_the_minimum_and_above_the_maximum(self) -> None:
         many = [step / 100 for step in range(10_000)]
-        least = int(100 * LEAST_RATE)
-        cases = ((0.0, least), (LEAST_RATE / 10, least), (1.0, 101), (UNBOUND_RATE, 10_000))
-        for rate, most in cases:
+        at_min_rate = int(100 * MIN_RATE)
+        cases = (
+            (0.0, at_min_rate),
+            (MIN_RATE / 10, at_min_rate),
+            (1.0, 101),
+            (UNLIMITED_RATE, 10_000),
+        )
+        for rate, limit in cases:
             with self.subTest(rate=rate):
                 self.setUp()
-                self.name(rate)
+                self.announce(rate)
                 count = self.count(many)
-                self.assertLessEqual(count, most)
-                self.assertGreaterEqual(count, 0.9 * most - 1)
+                self.assertLessEqual(count, limit)
+                self.assertGreaterEqual(count, 0.9 * limit - 1)
 
-    def test_a_target_that_names_none_may_get_all(self) -> None:
+    def test_a_target_without_a_limit_gets_all_requests(self) -> None:
         self.assertEqual(self.count([0.0] * 50), 50)
 
     def test_the_end_of_a_limit_ends_the_wait(self) -> None:
-        self.name(0.1)
+        self.announce(0.1)
         self.assertEqual(self.count([1.0]), 0)
-        self.name(None, 2.0)
+        self.announce(None, 2.0)
         self.assertEqual(self.count([2.0] * 10), 10)
 
-    def test_the_next_start_is_free(self) -> None:
-        self.name(0.1)
+    def test_a_limit_does_not_apply_to_the_next_incarnation(self) -> None:
+        self.announce(0.1)
         self.assertEqual(self.count([1.0] * 10, replace(DESK, start=7)), 10)
 
-    def test_the_first_target_with_a_place_is_named(self) -> None:
-        self.name(1.0)
-        self.name(1.0, named=OTHER)
+    def test_the_permit_is_for_the_first_target_that_has_a_token(self) -> None:
+        self.announce(1.0)
+        self.announce(1.0, named=OTHER)
         order = PermitOrder(number=3, targets=(DESK, OTHER))
         targets = [self.issuer.issue("s", order, 1.0, 1.0).target for _ in range(3)]
         self.assertEqual(targets, ["d1", "d2", ""])
@@ -96,32 +101,32 @@
         self.assertEqual(denied.number, 3)
         self.assertGreater(denied.wait_seconds, 0.0)
 
-    def test_callers_are_told_to_come_back_one_after_the_other(self) -> None:
-        """All told the same second, but for one they would be refused again."""
-        self.name(2.0)
+    def test_refused_callers_retry_one_after_the_other(self) -> None:
+        """If all retried at the same time, all but one would be refused again."""
+        self.announce(2.0)
         order = PermitOrder(number=1, targets=(DESK,), is_last=True)
-        backs = [self.issuer.issue("s", order, 1.0, 0.0).return_seconds for _ in range(4)]
-        self.assertEqual([round(back, 3) for back in backs], [0.5, 1.0, 1.5, 2.0])
+        retries = [self.issuer.issue("s", order, 1.0, 0.0).return_seconds for _ in range(4)]
+        self.assertEqual([round(retry_after, 3) for retry_after in retries], [0.5, 1.0, 1.5, 2.0])
         self.assertEqual(self.issuer.issue("s", order, 1.0, 60.0).target, "d1")
 
-    def test_as_many_requests_begin_as_will_be_sent(self) -> None:
-        self.name(1.0)
-        self.name(1.0, named=OTHER)
+    def test_as_many_requests_are_admitted_as_can_be_sent(self) -> None:
+        self.announce(1.0)
+        self.announce(1.0, named=OTHER)
         order = PermitOrder(number=1, targets=(DESK, OTHER), is_beginning=True, is_last=True)
         times = [step / 10 for step in range(100)]
-        begun = [at for at in times if self.issuer.issue("s", order, 1.0, at).may_begin]
-        self.assertAlmostEqual(len(begun), 20, delta=2)
+        admitted = [at for at in times if self.issuer.issue("s", order, 1.0, at).may_begin]
+        self.assertAlmostEqual(len(admitted), 20, delta=2)
         denied = self.issuer.issue("s", order, 1.0, 9.9)
         self.assertGreater(denied.return_seconds, 0.0)
 
-    def test_what_is_gone_is_forgotten(self) -> None:
-        self.name(1.0)
+    def test_removed_targets_lose_their_buckets(self) -> None:
+        self.announce(1.0)
         self.issuer.forget_others([])
         self.assertEqual(self.count([5.0]), 0)
 
 
-class FleetTest(unittest.TestCase):
-    """The owner, and two more boxes that are asked in its place, at any moments."""
+class ConcurrentIssuersTest(unittest.TestCase):
+    """The owner and two boxes that issue permits in its place, at arbitrary times."""
 
     @settings(max_examples=200, deadline=None)
     @given(
@@ -129,7 +134,7 @@
         gaps=st.lists(st.floats(0.0, 1.0), min_size=1, max_size=120),
         boxes=st.lists(st.integers(0, 2), min_size=1, max_size=120),
     )
-    def test_three_that_issue_at_once_keep_what_a_target_bears(
+    def test_the_owner_and_two_others_stay_within_what_a_target_tolerates(
         self, rate: float, gaps: list[float], boxes: list[int]
     ) -> None:
         issuers = []
@@ -145,8 +150,8 @@
             while issuers[box].take(DESK, share, now):
                 times.append(now)
         for begin in times:
-            most = sum(begin <= at < begin + 4.0 for at in times)
-            self.assertLessEqual(most, 1.5 * rate * 4.0 + 5.0)
+            count = sum(begin <= at < begin + 4.0 for at in times)
+            self.assertLessEqual(count, 1.5 * rate * 4.0 + 5.0)
 
 
 if __name__ == "__main__":
--- a/packages/damsonlane/src/damsonlane/ratelimit/tests/test_registry.py
+++ b/packages/damsonlane/src/damsonlane/ratelimit/tests/test_registry.py
@@ -1,4 +1,4 @@
-"""The limits that control tells all boxes."""
+"""The replicated list of rate limits."""
 
 import unittest
 
@@ -27,7 +27,7 @@
 )
 
 
-def note(*words: tuple[TargetStart, float | None]) -> NoteRateLimits:
+def make_command(*words: tuple[TargetStart, float | None]) -> NoteRateLimits:
     return NoteRateLimits(words=tuple(RateWord(named=named, rate=rate) for named, rate in words))
 
 
@@ -35,62 +35,63 @@
     def setUp(self) -> None:
         self.registry = RateLimitRegistry()
 
-    def test_only_changes_are_told(self) -> None:
-        self.assertTrue(self.registry.apply(note((DESK, 1.0))).is_changed)
-        self.assertFalse(self.registry.apply(note((DESK, 1.0))).is_changed)
-        self.assertTrue(self.registry.apply(note((DESK, 2.0))).is_changed)
-        self.assertTrue(self.registry.apply(note((DESK, None))).is_changed)
-        self.assertFalse(self.registry.apply(note((DESK, None))).is_changed)
+    def test_only_changes_raise_the_revision(self) -> None:
+        self.assertTrue(self.registry.apply(make_command((DESK, 1.0))).is_changed)
+        self.assertFalse(self.registry.apply(make_command((DESK, 1.0))).is_changed)
+        self.assertTrue(self.registry.apply(make_command((DESK, 2.0))).is_changed)
+        self.assertTrue(self.registry.apply(make_command((DESK, None))).is_changed)
+        self.assertFalse(self.registry.apply(make_command((DESK, None))).is_changed)
         self.assertEqual(self.registry.list_all().revision, 3)
 
-    def test_a_start_that_is_gone_is_forgotten(self) -> None:
-        self.registry.apply(note((DESK, 1.0)))
+    def test_limits_of_older_incarnations_are_removed(self) -> None:
+        self.registry.apply(make_command((DESK, 1.0)))
         self.registry.forget("d1", 5)
         self.assertEqual(len(self.registry.list_all().words), 1)
         self.registry.forget("d1", 6)
         self.assertEqual(self.registry.list_all().words, ())
 
-    def test_what_boxes_must_be_told(self) -> None:
+    def test_only_new_ended_and_much_changed_limits_are_reported(self) -> None:
         book = RateLimitBook()
-        told = self.registry.list_all()
-        self.assertEqual(list_untold(book, told, 0.0), ())
+        listed = self.registry.list_all()
+        self.assertEqual(list_untold(book, listed, 0.0), ())
         book.note(RateWord(named=DESK, rate=1.0), 0.0)
-        self.assertEqual([word.rate for word in list_untold(book, told, 0.0)], [1.0])
-        self.registry.apply(note((DESK, 1.0), (PIPELINE, 3.0)))
-        told = self.registry.list_all()
-        # A little more or less is nothing that another box must know, and of what is not known
-        # here nothing is said.
+        self.assertEqual([report.rate for report in list_untold(book, listed, 0.0)], [1.0])
+        self.registry.apply(make_command((DESK, 1.0), (PIPELINE, 3.0)))
+        listed = self.registry.list_all()
+        # Small changes are not reported, nor are limits that this table does not know.
         book.note(RateWord(named=DESK, rate=1.4), 1.0)
-        self.assertEqual(list_untold(book, told, 1.0), ())
+        self.assertEqual(list_untold(book, listed, 1.0), ())
         book.note(RateWord(named=DESK, rate=0.5), 2.0)
-        self.assertEqual([word.rate for word in list_untold(book, told, 2.0)], [0.5])
+        self.assertEqual([report.rate for report in list_untold(book, listed, 2.0)], [0.5])
         book.note(RateWord(named=DESK, rate=None), 3.0)
-        self.assertEqual(list_untold(book, told, 3.0), (RateWord(named=DESK, rate=None),))
+        self.assertEqual(list_untold(book, listed, 3.0), (RateWord(named=DESK, rate=None),))
 
 
 class ReplicatedLimitsTest(unittest.TestCase):
     def setUp(self) -> None:
         self.state = ClusterState()
         self.state.apply(RegisterTarget(record=RECORD))
-        self.state.apply(decode_command(encode_command(note((DESK, 1.0), (PIPELINE, 2.0)))))
+        self.state.apply(decode_command(encode_command(make_command((DESK, 1.0), (PIPELINE, 2.0)))))
 
     def rates(self) -> dict[str, float | None]:
         restored = ClusterState.from_text(self.state.to_text())
-        return {word.named.target: word.rate for word in restored.rate_limits.list_all().words}
+        return {
+            report.named.target: report.rate for report in restored.rate_limits.list_all().words
+        }
 
-    def test_they_outlast_a_snapshot(self) -> None:
+    def test_limits_are_restored_from_a_snapshot(self) -> None:
         self.assertEqual(self.rates(), {"d1": 1.0, "encode/d1": 2.0})
 
-    def test_the_next_start_of_a_target_is_free(self) -> None:
+    def test_a_new_incarnation_removes_the_limit(self) -> None:
         later = RECORD.__class__(**{**RECORD.__dict__, "sequence": 1, "start": 9})
         self.state.apply(RegisterTarget(record=later))
         self.assertEqual(self.rates(), {"encode/d1": 2.0})
 
-    def test_a_target_that_is_gone_has_none(self) -> None:
+    def test_removing_a_target_removes_its_limit(self) -> None:
         self.state.apply(RemoveTarget(target="d1", start=5))
         self.assertEqual(self.rates(), {"encode/d1": 2.0})
 
-    def test_heartbeats_of_the_same_start_change_nothing(self) -> None:
+    def test_heartbeats_of_the_same_incarnation_keep_the_limit(self) -> None:
         again = RECORD.__class__(**{**RECORD.__dict__, "sequence": 2})
         self.state.apply(RegisterTarget(record=again))
         self.assertEqual(self.rates(), {"d1": 1.0, "encode/d1": 2.0})
--- a/packages/damsonlane/src/damsonlane/ratelimit/tests/test_table.py
+++ b/packages/damsonlane/src/damsonlane/ratelimit/tests/test_table.py
@@ -1,4 +1,4 @@
-"""What is remembered of the rate limits that targets name."""
+"""The table of announced rate limits."""
 
 import unittest
 from dataclasses import replace
@@ -11,51 +11,51 @@
 
 class RateLimitBookTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.book = RateLimitBook()
-
-    def say(self, rate: float | None, now: float, age: float = 0.0) -> bool:
-        return self.book.note(RateWord(named=DESK, rate=rate, age=age), now)
-
-    def test_the_newest_word_holds(self) -> None:
-        self.assertTrue(self.say(1.0, 10.0))
-        self.assertFalse(self.say(1.0, 11.0))
-        self.assertTrue(self.say(2.0, 12.0))
-        self.assertFalse(self.say(9.0, 13.0, age=2.0))
-        self.assertEqual(self.book.find_rate(DESK), 2.0)
-
-    def test_an_answer_without_it_ends_it(self) -> None:
-        self.say(1.0, 10.0)
-        self.assertTrue(self.say(None, 11.0))
-        self.assertIsNone(self.book.find_rate(DESK))
-        self.assertEqual(self.book.list_words(11.0), ())
-
-    def test_late_word_does_not_bring_an_ended_limit_back(self) -> None:
-        self.say(1.0, 10.0)
-        self.say(None, 11.0)
-        self.assertFalse(self.say(1.0, 12.0, age=1.5))
-        self.assertIsNone(self.book.find_rate(DESK))
-
-    def test_targets_that_name_nothing_take_no_room(self) -> None:
-        self.assertFalse(self.say(None, 10.0))
-        self.assertTrue(self.book.is_empty())
-
-    def test_the_next_start_is_free_of_it(self) -> None:
-        self.say(1.0, 10.0)
-        self.assertIsNone(self.book.find_rate(replace(DESK, start=6)))
-        self.book.forget_others([replace(DESK, start=6)], 11.0)
-        self.assertTrue(self.book.is_empty())
-
-    def test_what_ended_long_ago_is_forgotten(self) -> None:
-        self.say(1.0, 10.0)
-        self.say(None, 11.0)
-        self.book.forget_others([DESK], 60.0)
-        self.assertFalse(self.book.is_empty())
-        self.book.forget_others([DESK], 80.0)
-        self.assertTrue(self.book.is_empty())
-
-    def test_another_box_is_told_how_old_the_word_is(self) -> None:
-        self.say(1.0, 10.0)
-        self.assertEqual(self.book.list_words(12.5), (RateWord(named=DESK, rate=1.0, age=2.5),))
+        self.table = RateLimitBook()
+
+    def record(self, rate: float | None, now: float, age: float = 0.0) -> bool:
+        return self.table.note(RateWord(named=DESK, rate=rate, age=age), now)
+
+    def test_the_newest_report_is_in_force(self) -> None:
+        self.assertTrue(self.record(1.0, 10.0))
+        self.assertFalse(self.record(1.0, 11.0))
+        self.assertTrue(self.record(2.0, 12.0))
+        self.assertFalse(self.record(9.0, 13.0, age=2.0))
+        self.assertEqual(self.table.find_rate(DESK), 2.0)
+
+    def test_an_answer_without_a_limit_ends_it(self) -> None:
+        self.record(1.0, 10.0)
+        self.assertTrue(self.record(None, 11.0))
+        self.assertIsNone(self.table.find_rate(DESK))
+        self.assertEqual(self.table.list_words(11.0), ())
+
+    def test_a_delayed_report_does_not_restore_an_ended_limit(self) -> None:
+        self.record(1.0, 10.0)
+        self.record(None, 11.0)
+        self.assertFalse(self.record(1.0, 12.0, age=1.5))
+        self.assertIsNone(self.table.find_rate(DESK))
+
+    def test_targets_without_a_limit_are_not_stored(self) -> None:
+        self.assertFalse(self.record(None, 10.0))
+        self.assertTrue(self.table.is_empty())
+
+    def test_a_limit_does_not_apply_to_the_next_incarnation(self) -> None:
+        self.record(1.0, 10.0)
+        self.assertIsNone(self.table.find_rate(replace(DESK, start=6)))
+        self.table.forget_others([replace(DESK, start=6)], 11.0)
+        self.assertTrue(self.table.is_empty())
+
+    def test_a_limit_that_ended_long_ago_is_dropped(self) -> None:
+        self.record(1.0, 10.0)
+        self.record(None, 11.0)
+        self.table.forget_others([DESK], 60.0)
+        self.assertFalse(self.table.is_empty())
+        self.table.forget_others([DESK], 80.0)
+        self.assertTrue(self.table.is_empty())
+
+    def test_reports_to_other_boxes_carry_their_age(self) -> None:
+        self.record(1.0, 10.0)
+        self.assertEqual(self.table.list_words(12.5), (RateWord(named=DESK, rate=1.0, age=2.5),))
 
 
 if __name__ == "__main__":
