--- a/packages/damsonlane/src/damsonlane/quarantine/__init__.py
+++ b/packages/damsonlane/src/damsonlane/quarantine/__init__.py
@@ -1,7 +1,7 @@
-"""Requests that end their targets: which ones they are, by what ended under them.
+"""Quarantine of requests that crash their targets.
 
-What enters are ends of targets with the requests that broke off there, and word of requests
-that were served; what leaves is the list of requests that no target is to get.
+Reports of targets that exited, with the requests that were interrupted there, and of requests that
+were served determine the list of requests that are sent to no target.
 """
 
 from damsonlane.quarantine._attribution import ENDS_TO_HOLD, ENDS_TO_HOLD_ALIKE
@@ -11,7 +11,7 @@
     NoteSurvived,
     NoteTargetEnd,
     ReleaseRequest,
-    TargetEnd,
+    TargetExit,
 )
 from damsonlane.quarantine._fingerprint import find_fingerprint
 from damsonlane.quarantine._registry import (
@@ -24,7 +24,7 @@
     QuarantineNoted,
     QuarantineSnapshot,
 )
-from damsonlane.quarantine._served import SERVED_SECONDS, ServedLately
+from damsonlane.quarantine._served import SERVED_SECONDS, RecentlyServed
 
 __all__ = [
     "COUNTED_SECONDS",
@@ -43,7 +43,7 @@
     "QuarantineNoted",
     "QuarantineSnapshot",
     "ReleaseRequest",
-    "ServedLately",
-    "TargetEnd",
+    "RecentlyServed",
+    "TargetExit",
     "find_fingerprint",
 ]
--- a/packages/damsonlane/src/damsonlane/quarantine/_attribution.py
+++ b/packages/damsonlane/src/damsonlane/quarantine/_attribution.py
@@ -1,93 +1,101 @@
-"""Which requests the ends of targets are put down to.
+"""Attribution of target exits to the requests that probably caused them.
 
-A target that ends takes along everything that it has, so most of what broke off there has done
-nothing.  Blame goes to the few requests that explain the most ends: whoever stands in more ends
-than others is taken out first, and ends that are explained by it count against nobody else.
+When a target exits, all requests in progress there are interrupted, and most of them are not the
+cause.  The request that is part of the most exits is taken as their cause first; exits that it
+explains do not count against other requests.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
 from typing import Final
 
-from damsonlane.quarantine._exits import TargetEnd
+from damsonlane.quarantine._exits import TargetExit
 
-#: Targets that end under a request before it is kept from them.  With two, requests that were
-#: resumed once beside a deadly one would be kept back too: in a recorded burst of 17 ends five
-#: bystanders stood in two ends, one in three, and none in more.
+#: Exits of targets after which a request that was in progress there is quarantined.  With two,
+#: requests that were resumed once and were next to the cause both times would be quarantined too.
 ENDS_TO_HOLD: Final = 3
-#: Ends after which a request is held even though another one stands in all of them as well:
-#: two that always come together can't be told apart, and both are refused rather than more
-#: targets lost.
+#: Exits after which a request is quarantined even though another one is part of the same exits.
+#: Such requests can't be told apart, so all of them are refused rather than more targets lost.
 ENDS_TO_HOLD_ALIKE: Final = 6
 
+#: Exits by their identity.
+ExitsByIdentity = Mapping[tuple[str, int], TargetExit]
 
-#: Ends by their identity.
-EndsByIdentity = Mapping[tuple[str, int], TargetEnd]
 
-
-def find_blamed(under: Mapping[str, EndsByIdentity]) -> dict[str, tuple[TargetEnd, ...]]:
-    """Return the requests that explain the ends of targets, each with those that it explains.
+def attribute_exits(
+    exits_by_request: Mapping[str, ExitsByIdentity],
+) -> dict[str, tuple[TargetExit, ...]]:
+    """Return the requests that caused the exits of targets, each with the exits it explains.
 
     Args:
-        under: for each request the ends in which it stands; those in one end alone may be
-            left out.
+        exits_by_request: for each request the exits that it is part of; requests that are part
+            of only one may be left out.
     """
-    left = dict(under)
-    blamed: dict[str, tuple[TargetEnd, ...]] = {}
-    while left:
-        first = min(left, key=lambda name: _rate(name, left[name]))
-        if len(left[first]) < ENDS_TO_HOLD:
+    remaining = dict(exits_by_request)
+    causes: dict[str, tuple[TargetExit, ...]] = {}
+    while remaining:
+        first = min(remaining, key=lambda name: _sort_key(name, remaining[name]))
+        if len(remaining[first]) < ENDS_TO_HOLD:
             break
-        alike = [name for name in left if left[name].keys() == left[first].keys()]
-        explained = left[first]
-        if len(alike) == 1 or len(explained) >= ENDS_TO_HOLD_ALIKE:
-            blamed.update({name: tuple(explained.values()) for name in alike})
-            left = _leave_out(left, explained)
-        for name in alike:
-            left.pop(name, None)
-    return blamed
+        tied = [name for name in remaining if remaining[name].keys() == remaining[first].keys()]
+        explained = remaining[first]
+        if len(tied) == 1 or len(explained) >= ENDS_TO_HOLD_ALIKE:
+            causes.update({name: tuple(explained.values()) for name in tied})
+            remaining = _drop_explained(remaining, explained)
+        for name in tied:
+            remaining.pop(name, None)
+    return causes
 
 
-def list_suspects(under: Mapping[str, EndsByIdentity], most: int) -> tuple[str, ...]:
-    """Return the requests that stand in the most ends first.
+def list_suspects(exits_by_request: Mapping[str, ExitsByIdentity], limit: int) -> tuple[str, ...]:
+    """Return the most suspect requests, those in the most exits first.
 
     Args:
-        under: for each request the ends in which it stands.
-        most: how many to return.
+        exits_by_request: for each request the exits that it is part of.
+        limit: how many to return at most.
     """
-    return tuple(sorted(under, key=lambda name: _rate(name, under[name]))[:most])
+    return tuple(
+        sorted(exits_by_request, key=lambda name: _sort_key(name, exits_by_request[name]))[:limit]
+    )
 
 
-def _rate(name: str, ends: EndsByIdentity) -> tuple[int, float, str]:
-    """Return the place of a request among those to blame; the least comes first.
+def _sort_key(name: str, exits: ExitsByIdentity) -> tuple[int, float, str]:
+    """Return the key that sorts requests by suspicion, the most suspect first.
 
-    Of two in as many ends the one that ran for less time each is the more likely cause.
+    Of two requests in as many exits, the one that ran for a shorter time is the more likely cause.
     """
     seconds = sum(
-        run.seconds for end in ends.values() for run in end.runs if run.fingerprint == name
+        run.seconds
+        for target_exit in exits.values()
+        for run in target_exit.runs
+        if run.fingerprint == name
     )
-    return (-len(ends), seconds, name)
-
-
-def _leave_out(
-    under: Mapping[str, EndsByIdentity], explained: EndsByIdentity
-) -> dict[str, EndsByIdentity]:
-    """Return what is left against each request once some ends are explained."""
-    left = {
-        name: {identity: end for identity, end in ends.items() if identity not in explained}
-        for name, ends in under.items()
+    return (-len(exits), seconds, name)
+
+
+def _drop_explained(
+    exits_by_request: Mapping[str, ExitsByIdentity], explained: ExitsByIdentity
+) -> dict[str, ExitsByIdentity]:
+    """Return the exits of each request without those that are explained."""
+    remaining = {
+        name: {
+            identity: target_exit
+            for identity, target_exit in exits.items()
+            if identity not in explained
+        }
+        for name, exits in exits_by_request.items()
     }
-    return {name: ends for name, ends in left.items() if ends}
+    return {name: exits for name, exits in remaining.items() if exits}
 
 
-def find_oldest_unneeded(ends: Sequence[TargetEnd], blamed: Iterable[str]) -> int:
-    """Return the index of the oldest end that holds no blamed request back, or else of the oldest.
+def find_oldest_removable(exits: Sequence[TargetExit], causes: Iterable[str]) -> int:
+    """Return the index of the oldest exit without a quarantined request, or of the oldest one.
 
     Args:
-        ends: all ends, oldest first.
-        blamed: the requests that are blamed.
+        exits: all exits, oldest first.
+        causes: the requests that are quarantined.
     """
-    names = set(blamed)
-    for index, end in enumerate(ends):
-        if not any(run.fingerprint in names for run in end.runs):
+    names = set(causes)
+    for index, target_exit in enumerate(exits):
+        if not any(run.fingerprint in names for run in target_exit.runs):
             return index
     return 0
--- a/packages/damsonlane/src/damsonlane/quarantine/_exits.py
+++ b/packages/damsonlane/src/damsonlane/quarantine/_exits.py
@@ -1,4 +1,4 @@
-"""Targets that ended, with what broke off there: commands and what they leave behind."""
+"""Exits of targets with the requests that were interrupted: commands and stored records."""
 
 from dataclasses import dataclass
 from typing import Literal
@@ -6,35 +6,35 @@
 
 @dataclass(frozen=True, kw_only=True)
 class BrokenRun:
-    """A request that a target had when its answer broke off."""
+    """A request whose answer was interrupted when its target exited."""
 
     #: Fingerprint of the request.
     fingerprint: str
-    #: Seconds from its sending until it broke off.
+    #: Seconds from sending it until the interruption.
     seconds: float
 
 
 @dataclass(frozen=True, kw_only=True)
 class NoteTargetEnd:
-    """A target ended while it had requests."""
+    """Command: record that a target exited while it had requests."""
 
     kind: Literal["note-target-end"] = "note-target-end"
     #: Name of the target.
     target: str
-    #: Its start, in milliseconds since 1970; 0 where targets don't tell.
+    #: Its start, in milliseconds since 1970; 0 where targets don't report it.
     start: int
-    #: Whether a later start has the same name and tells no start, so that ends are told apart
-    #: by when they came.
+    #: Whether a later incarnation has the same name and reports no start, so that exits are told
+    #: apart by their time.
     is_name_kept: bool = False
-    #: The requests that one box had there.
+    #: The requests that one box had in progress there.
     runs: tuple[BrokenRun, ...]
-    #: When control was told, in seconds since 1970.
+    #: When it was reported to control, in seconds since 1970.
     at: float = 0.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class NoteSurvived:
-    """Targets served requests to a good end, so these end no targets."""
+    """Command: record that targets served requests, so that these are not the cause of exits."""
 
     kind: Literal["note-survived"] = "note-survived"
     #: Fingerprints of the requests.
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ReleaseRequest:
-    """An operator wants a request sent to targets again."""
+    """Command of an operator: release a request from the quarantine."""
 
     kind: Literal["release-request"] = "release-request"
     #: Fingerprint of the request.
@@ -56,31 +56,32 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ForgetTargetEnds:
-    """Ends of long ago say nothing any more."""
+    """Command: remove old exits."""
 
     kind: Literal["forget-target-ends"] = "forget-target-ends"
-    #: Ends before this are forgotten, in seconds since 1970.
+    #: Exits before this time are removed, in seconds since 1970.
     before: float
 
 
 @dataclass(frozen=True, kw_only=True)
-class TargetEnd:
-    """One start of a target that ended, with all requests that it had."""
+class TargetExit:
+    """The exit of one incarnation of a target, with the requests in progress there."""
 
     #: Name of the target.
     target: str
-    #: Its start, in milliseconds since 1970; negative where none is told: when it ended.
+    #: Its start, in milliseconds since 1970.  Where none is reported, the negated time of the
+    #: exit.
     start: int
-    #: When control was told first, in seconds since 1970.
+    #: When it was first reported to control, in seconds since 1970.
     at: float
     #: The requests, each once.
     runs: tuple[BrokenRun, ...]
 
     @property
     def identity(self) -> tuple[str, int]:
-        """Name and start."""
+        """Name and start of the incarnation."""
         return (self.target, self.start)
 
     def has(self, fingerprint: str) -> bool:
-        """Tell whether it had a request."""
+        """Return whether a request was in progress there."""
         return any(run.fingerprint == fingerprint for run in self.runs)
--- a/packages/damsonlane/src/damsonlane/quarantine/_fingerprint.py
+++ b/packages/damsonlane/src/damsonlane/quarantine/_fingerprint.py
@@ -1,25 +1,25 @@
-"""What makes two requests the same, whatever ids they carry."""
+"""Fingerprints that identify requests with the same content."""
 
 import hashlib
 from typing import Final
 
-#: Bytes of a fingerprint: among the millions of requests of a day no two differing ones
-#: share one by chance, and a caller that contrives one meets only its own organisation.
+#: Bytes of a fingerprint: enough to make chance collisions negligible among the millions of
+#: requests of a day.  A caller that constructs a collision affects only its own organisation.
 _BYTES: Final = 12
 
 
 def find_fingerprint(*, organisation: str, method: str, host: str, target: str, body: bytes) -> str:
     """Return the fingerprint of a request.
 
-    Ids, deadlines and other headers differ between two tries of one request, so they don't
-    count.
+    Ids, deadlines and other headers are left out, since they differ between two attempts at one
+    request.
 
     Args:
-        organisation: whose caller sends it; empty on a route open to all.
-        method: its method.
-        host: the host that it names.
+        organisation: organisation of the caller; empty on a public route.
+        method: the HTTP method.
+        host: the host header.
         target: path and query.
-        body: its whole body.
+        body: the whole body.
 
     Returns:
         24 hexadecimal digits.
@@ -27,7 +27,7 @@
     digest = hashlib.blake2b(digest_size=_BYTES)
     for part in (organisation, method, host, target):
         data = part.encode("utf-8", errors="surrogateescape")
-        # With their lengths, no two lists of parts run together to the same bytes.
+        # The length prefix keeps different lists of parts from giving the same bytes.
         digest.update(len(data).to_bytes(4, "big"))
         digest.update(data)
     digest.update(body)
--- a/packages/damsonlane/src/damsonlane/quarantine/_registry.py
+++ b/packages/damsonlane/src/damsonlane/quarantine/_registry.py
@@ -1,4 +1,4 @@
-"""Requests that are kept from targets: part of the replicated state."""
+"""The registry of quarantined requests: part of the replicated state."""
 
 from collections.abc import Collection, Iterable
 from dataclasses import dataclass, replace
@@ -6,9 +6,9 @@
 
 from damsonlane.quarantine._attribution import (
     ENDS_TO_HOLD,
-    EndsByIdentity,
-    find_blamed,
-    find_oldest_unneeded,
+    ExitsByIdentity,
+    attribute_exits,
+    find_oldest_removable,
     list_suspects,
 )
 from damsonlane.quarantine._exits import (
@@ -17,54 +17,55 @@
     NoteSurvived,
     NoteTargetEnd,
     ReleaseRequest,
-    TargetEnd,
+    TargetExit,
 )
 
-#: Ends that are remembered: some minutes of a fleet that loses one target a second.
+#: Most exits that are stored.
 MOST_ENDS: Final = 256
-#: Requests that are remembered of one end, those first that ran for the shortest time.
-MOST_RUNS: Final = 48
-#: Seconds for which an end counts: a request that ends targets costs three of them an hour.
+#: Most requests that are stored for one exit; those that ran for the shortest time are kept.
+MAX_RUNS: Final = 48
+#: Seconds for which an exit counts.  A request that crashes targets costs three of them in this
+#: time.
 COUNTED_SECONDS: Final = 3_600.0
-#: Seconds within which word of entries is of one end of a target that keeps its name: they
-#: notice it at once, and a process takes longer to start again and be sent something.
-SAME_END_SECONDS: Final = 0.2
-#: Ends from which on entries tell that a request was served after all.
-ENDS_TO_SUSPECT: Final = 2
-#: Requests that entries are told to look out for so.
-MOST_SUSPECTS: Final = 128
-
-#: What changes the book.
+#: Seconds within which reports of entries are taken to be about the same exit of a target that
+#: keeps its name: entries notice it at once, and a restart takes longer.
+SAME_EXIT_SECONDS: Final = 0.2
+#: Exits from which on a request is a suspect: entries report if it is served after all.
+EXITS_TO_SUSPECT: Final = 2
+#: Most suspects that are sent to entries.
+MAX_SUSPECTS: Final = 128
+
+#: The commands that change the registry.
 QuarantineCommand = NoteTargetEnd | NoteSurvived | ReleaseRequest | ForgetTargetEnds
 
 
 @dataclass(frozen=True, kw_only=True)
 class HeldRequest:
-    """A request that is kept from targets."""
+    """A quarantined request."""
 
     #: Its fingerprint.
     fingerprint: str
-    #: Number of targets that ended under it.
+    #: Number of exits that are attributed to it.
     ends: int
-    #: Until when it is held if nothing else comes, in seconds since 1970.
+    #: When it is released unless more exits are attributed to it, in seconds since 1970.
     until: float
 
 
 @dataclass(frozen=True, kw_only=True)
 class QuarantineList:
-    """What entries are told, at a revision."""
+    """The quarantine as sent to entries, at a revision."""
 
-    #: Number of changes that led there; a lower one is older.
+    #: Number of changes so far; a lower one is older.
     revision: int = 0
-    #: Requests that are kept from targets.
+    #: Quarantined requests.
     held: tuple[HeldRequest, ...] = ()
-    #: Fingerprints of others that some targets ended under.
+    #: Fingerprints of other requests that are part of several exits.
     suspects: tuple[str, ...] = ()
 
 
 @dataclass(frozen=True, kw_only=True)
 class QuarantineNoted:
-    """The reply to all commands: what holds now."""
+    """The reply to all commands: the current list."""
 
     kind: Literal["quarantine-noted"] = "quarantine-noted"
     #: The list after the command.
@@ -77,18 +78,18 @@
 
     #: Number of changes of the list so far.
     revision: int = 0
-    #: Ends that count, oldest first.
-    ends: tuple[TargetEnd, ...] = ()
+    #: Exits that count, oldest first.
+    ends: tuple[TargetExit, ...] = ()
 
 
 class QuarantineBook:
-    """Applies what entries and operators say about requests that end targets."""
+    """Applies commands of entries and operators about requests that crash targets."""
 
     def __init__(self, snapshot: QuarantineSnapshot | None = None) -> None:
         start = snapshot or QuarantineSnapshot()
-        self._ends: dict[tuple[str, int], TargetEnd] = {}
-        self._under: dict[str, set[tuple[str, int]]] = {}
-        self._replace_ends(start.ends)
+        self._exits: dict[tuple[str, int], TargetExit] = {}
+        self._exits_by_request: dict[str, set[tuple[str, int]]] = {}
+        self._replace_exits(start.ends)
         self._list = self._make_list(start.revision)
 
     @property
@@ -98,131 +99,143 @@
 
     def snapshot(self) -> QuarantineSnapshot:
         """Return the whole state."""
-        return QuarantineSnapshot(revision=self.revision, ends=tuple(self._ends.values()))
+        return QuarantineSnapshot(revision=self.revision, ends=tuple(self._exits.values()))
 
     def list_for_entries(self) -> QuarantineList:
-        """Return what entries are told."""
+        """Return the list that is sent to entries."""
         return self._list
 
     def is_forgetful_at(self, now: float) -> bool:
-        """Tell whether some end has stopped to count.
+        """Return whether some exit no longer counts.
 
         Args:
             now: seconds since 1970.
         """
-        return any(end.at < now - COUNTED_SECONDS for end in self._ends.values())
+        return any(target_exit.at < now - COUNTED_SECONDS for target_exit in self._exits.values())
 
     def apply(self, command: QuarantineCommand) -> QuarantineNoted:
         """Apply one command."""
         match command:
             case NoteTargetEnd():
-                self._note_end(command)
+                self._record_exit(command)
             case NoteSurvived(fingerprints=fingerprints):
-                self._clear(fingerprints)
+                self._release(fingerprints)
             case ReleaseRequest(fingerprint=fingerprint):
-                self._clear((fingerprint,))
+                self._release((fingerprint,))
             case ForgetTargetEnds(before=before):
-                self._replace_ends([end for end in self._ends.values() if end.at >= before])
-        if not isinstance(command, NoteTargetEnd) or self._has_repeated(command.runs):
-            self._renew_list()
+                self._replace_exits(
+                    [
+                        target_exit
+                        for target_exit in self._exits.values()
+                        if target_exit.at >= before
+                    ]
+                )
+        if not isinstance(command, NoteTargetEnd) or self._has_suspects(command.runs):
+            self._update_list()
         return QuarantineNoted(quarantine=self._list)
 
-    def _note_end(self, command: NoteTargetEnd) -> None:
-        start = self._reckon_start(command) if command.is_name_kept else command.start
-        end = TargetEnd(target=command.target, start=start, at=command.at, runs=command.runs)
-        known = self._ends.get(end.identity)
+    def _record_exit(self, command: NoteTargetEnd) -> None:
+        start = self._find_start(command) if command.is_name_kept else command.start
+        target_exit = TargetExit(
+            target=command.target, start=start, at=command.at, runs=command.runs
+        )
+        known = self._exits.get(target_exit.identity)
         if known is not None:
-            end = replace(known, runs=(*known.runs, *command.runs))
-        self._put(replace(end, runs=_keep_shortest(end.runs)))
-        while len(self._ends) > MOST_ENDS:
-            ends = list(self._ends.values())
+            target_exit = replace(known, runs=(*known.runs, *command.runs))
+        self._store(replace(target_exit, runs=_keep_shortest(target_exit.runs)))
+        while len(self._exits) > MOST_ENDS:
+            exits = list(self._exits.values())
             held = [request.fingerprint for request in self._list.held]
-            self._drop(ends[find_oldest_unneeded(ends, held)])
-
-    def _put(self, end: TargetEnd) -> None:
-        """Keep an end, in place of what was known of it."""
-        self._ends[end.identity] = end
-        for run in end.runs:
-            self._under.setdefault(run.fingerprint, set()).add(end.identity)
-
-    def _drop(self, end: TargetEnd) -> None:
-        del self._ends[end.identity]
-        for run in end.runs:
-            self._under[run.fingerprint].discard(end.identity)
-            if not self._under[run.fingerprint]:
-                del self._under[run.fingerprint]
-
-    def _replace_ends(self, ends: Iterable[TargetEnd]) -> None:
-        """Keep some ends and no others."""
-        self._ends.clear()
-        self._under.clear()
-        for end in ends:
-            self._put(end)
-
-    def _has_repeated(self, runs: Iterable[BrokenRun]) -> bool:
-        """Tell whether some requests stand in several ends; if not, the list stays as it is.
-
-        When a rack of targets is lost, hundreds of reports come and hardly a request stands in
-        two; with the whole list made anew each time, 200 of them took 9.48 s of a processor, and
-        0.02 s so (one run each, 24 requests a report, 256 older ends of 40 requests).
+            self._remove(exits[find_oldest_removable(exits, held)])
+
+    def _store(self, target_exit: TargetExit) -> None:
+        """Store an exit, replacing an earlier record of it."""
+        self._exits[target_exit.identity] = target_exit
+        for run in target_exit.runs:
+            self._exits_by_request.setdefault(run.fingerprint, set()).add(target_exit.identity)
+
+    def _remove(self, target_exit: TargetExit) -> None:
+        del self._exits[target_exit.identity]
+        for run in target_exit.runs:
+            self._exits_by_request[run.fingerprint].discard(target_exit.identity)
+            if not self._exits_by_request[run.fingerprint]:
+                del self._exits_by_request[run.fingerprint]
+
+    def _replace_exits(self, exits: Iterable[TargetExit]) -> None:
+        """Replace all exits."""
+        self._exits.clear()
+        self._exits_by_request.clear()
+        for target_exit in exits:
+            self._store(target_exit)
+
+    def _has_suspects(self, runs: Iterable[BrokenRun]) -> bool:
+        """Return whether some requests are part of several exits; if not, the list is unchanged.
+
+        When a rack of targets is lost, hundreds of reports come, and hardly a request is part of
+        two exits.  Rebuilding the list for each of them would take seconds.
         """
-        return any(len(self._under.get(run.fingerprint, ())) >= ENDS_TO_SUSPECT for run in runs)
-
-    def _reckon_start(self, command: NoteTargetEnd) -> int:
-        """Return what tells the end of a target with a fixed name from its other ends."""
-        for end in self._ends.values():
-            is_near = abs(end.at - command.at) < SAME_END_SECONDS
-            if end.target == command.target and is_near:
-                return end.start
+        return any(
+            len(self._exits_by_request.get(run.fingerprint, ())) >= EXITS_TO_SUSPECT for run in runs
+        )
+
+    def _find_start(self, command: NoteTargetEnd) -> int:
+        """Return what tells the exit of a target that keeps its name from its other exits."""
+        for target_exit in self._exits.values():
+            is_near = abs(target_exit.at - command.at) < SAME_EXIT_SECONDS
+            if target_exit.target == command.target and is_near:
+                return target_exit.start
         return -round(1_000 * command.at)
 
-    def _clear(self, fingerprints: Collection[str]) -> None:
-        """Take all that stands against some requests back."""
-        cleared = [
-            replace(end, runs=tuple(run for run in end.runs if run.fingerprint not in fingerprints))
-            for end in self._ends.values()
+    def _release(self, fingerprints: Collection[str]) -> None:
+        """Remove some requests from all exits."""
+        released = [
+            replace(
+                target_exit,
+                runs=tuple(run for run in target_exit.runs if run.fingerprint not in fingerprints),
+            )
+            for target_exit in self._exits.values()
         ]
-        self._replace_ends([end for end in cleared if end.runs])
+        self._replace_exits([target_exit for target_exit in released if target_exit.runs])
 
-    def _renew_list(self) -> None:
+    def _update_list(self) -> None:
         newer = self._make_list(self.revision + 1)
         if replace(newer, revision=self.revision) != self._list:
             self._list = newer
 
     def _make_list(self, revision: int) -> QuarantineList:
-        """Return what follows from the ends that count."""
-        under = self._find_repeated()
-        blamed = find_blamed(under)
-        held = tuple(_hold(name, blamed[name]) for name in sorted(blamed))
-        others = {name: ends for name, ends in under.items() if name not in blamed}
-        suspects = list_suspects(others, MOST_SUSPECTS)
+        """Build the list from the exits that count."""
+        exits_by_request = self._find_candidates()
+        causes = attribute_exits(exits_by_request)
+        held = tuple(_quarantine(name, causes[name]) for name in sorted(causes))
+        others = {name: exits for name, exits in exits_by_request.items() if name not in causes}
+        suspects = list_suspects(others, MAX_SUSPECTS)
         return QuarantineList(revision=revision, held=held, suspects=suspects)
 
-    def _find_repeated(self) -> dict[str, EndsByIdentity]:
-        """Return the requests that stand in several ends, with these."""
+    def _find_candidates(self) -> dict[str, ExitsByIdentity]:
+        """Return the requests that are part of several exits, each with its exits."""
         return {
-            name: {identity: self._ends[identity] for identity in sorted(identities)}
-            for name, identities in self._under.items()
-            if len(identities) >= ENDS_TO_SUSPECT
+            name: {identity: self._exits[identity] for identity in sorted(identities)}
+            for name, identities in self._exits_by_request.items()
+            if len(identities) >= EXITS_TO_SUSPECT
         }
 
 
-def _hold(fingerprint: str, ends: tuple[TargetEnd, ...]) -> HeldRequest:
-    """Return a request as it is held: for as long as enough of its ends count."""
-    times = sorted((end.at for end in ends), reverse=True)
+def _quarantine(fingerprint: str, exits: tuple[TargetExit, ...]) -> HeldRequest:
+    """Return a quarantined request; its release is when too few of its exits count."""
+    times = sorted((target_exit.at for target_exit in exits), reverse=True)
     return HeldRequest(
         fingerprint=fingerprint,
-        ends=len(ends),
+        ends=len(exits),
         until=times[ENDS_TO_HOLD - 1] + COUNTED_SECONDS,
     )
 
 
 def _keep_shortest(runs: tuple[BrokenRun, ...]) -> tuple[BrokenRun, ...]:
-    """Return each request once, by its shortest run, and no more than are remembered."""
+    """Return the shortest run of each request, limited to the number that is stored."""
     shortest: dict[str, BrokenRun] = {}
     for run in runs:
         known = shortest.get(run.fingerprint)
         if known is None or run.seconds < known.seconds:
             shortest[run.fingerprint] = run
     ordered = sorted(shortest.values(), key=lambda run: (run.seconds, run.fingerprint))
-    return tuple(ordered[:MOST_RUNS])
+    return tuple(ordered[:MAX_RUNS])
--- a/packages/damsonlane/src/damsonlane/quarantine/tests/test_fingerprint.py
+++ b/packages/damsonlane/src/damsonlane/quarantine/tests/test_fingerprint.py
@@ -1,10 +1,10 @@
-"""What makes two requests the same."""
+"""Fingerprints of requests."""
 
 import unittest
 
 from damsonlane.quarantine import find_fingerprint
 
-SAME = {
+REQUEST = {
     "organisation": "florists",
     "method": "POST",
     "host": "shop.example",
@@ -14,10 +14,10 @@
 
 
 class FingerprintTest(unittest.TestCase):
-    def test_two_tries_of_one_request_are_the_same(self) -> None:
+    def test_two_attempts_at_one_request_have_the_same_fingerprint(self) -> None:
         self.assertEqual(_find(), _find())
 
-    def test_any_difference_makes_another_request(self) -> None:
+    def test_any_difference_changes_the_fingerprint(self) -> None:
         others = (
             {"organisation": "bakers"},
             {"method": "PUT"},
@@ -32,7 +32,7 @@
 
 
 def _find(**changes: object) -> str:
-    return find_fingerprint(**{**SAME, **changes})  # type: ignore[arg-type]
+    return find_fingerprint(**{**REQUEST, **changes})  # type: ignore[arg-type]
 
 
 if __name__ == "__main__":
--- a/packages/damsonlane/src/damsonlane/quarantine/tests/test_registry.py
+++ b/packages/damsonlane/src/damsonlane/quarantine/tests/test_registry.py
@@ -1,4 +1,4 @@
-"""Which requests are kept from targets, by what ended under them."""
+"""Which requests are quarantined after exits of targets."""
 
 import random
 import unittest
@@ -21,195 +21,201 @@
     NoteTargetEnd,
     QuarantineBook,
     QuarantineSnapshot,
+    RecentlyServed,
     ReleaseRequest,
-    ServedLately,
 )
-from damsonlane.quarantine._served import MOST_SERVED
+from damsonlane.quarantine._served import MAX_SERVED
 
 
-def make_end(number: int, *requests: str, seconds: float = 0.2, at: float = 0.0) -> NoteTargetEnd:
+def make_exit(number: int, *requests: str, seconds: float = 0.2, at: float = 0.0) -> NoteTargetEnd:
     runs = tuple(BrokenRun(fingerprint=name, seconds=seconds) for name in requests)
     return NoteTargetEnd(target=f"t{number}", start=number, runs=runs, at=at)
 
 
-def list_held(book: QuarantineBook) -> list[str]:
-    return [request.fingerprint for request in book.list_for_entries().held]
+def list_quarantined(registry: QuarantineBook) -> list[str]:
+    return [request.fingerprint for request in registry.list_for_entries().held]
 
 
-def make_book(*ends: Sequence[str]) -> QuarantineBook:
-    book = QuarantineBook()
-    for number, requests in enumerate(ends):
-        book.apply(make_end(number, *requests))
-    return book
+def make_registry(*exits: Sequence[str]) -> QuarantineBook:
+    registry = QuarantineBook()
+    for number, requests in enumerate(exits):
+        registry.apply(make_exit(number, *requests))
+    return registry
 
 
-class HoldTest(unittest.TestCase):
-    def test_a_request_is_held_from_the_third_target_on(self) -> None:
-        self.assertEqual(list_held(make_book(["bad", "a"], ["bad", "b"])), [])
-        self.assertEqual(list_held(make_book(["bad", "a"], ["bad", "b"], ["bad"])), ["bad"])
+class QuarantineTest(unittest.TestCase):
+    def test_a_request_is_quarantined_after_three_exits(self) -> None:
+        self.assertEqual(list_quarantined(make_registry(["bad", "a"], ["bad", "b"])), [])
+        self.assertEqual(
+            list_quarantined(make_registry(["bad", "a"], ["bad", "b"], ["bad"])), ["bad"]
+        )
 
-    def test_one_target_counts_once_however_many_boxes_tell_of_it(self) -> None:
-        book = QuarantineBook()
+    def test_an_exit_that_several_boxes_report_counts_once(self) -> None:
+        registry = QuarantineBook()
         for _ in range(5):
-            book.apply(make_end(1, "a"))
-        self.assertEqual(list_held(book), [])
+            registry.apply(make_exit(1, "a"))
+        self.assertEqual(list_quarantined(registry), [])
 
-    def test_a_target_that_started_again_counts_anew(self) -> None:
-        book = QuarantineBook()
+    def test_each_incarnation_of_a_target_counts(self) -> None:
+        registry = QuarantineBook()
         for start in range(3):
             runs = (BrokenRun(fingerprint="bad", seconds=0.1),)
-            book.apply(NoteTargetEnd(target="t", start=start, runs=runs))
-        self.assertEqual(list_held(book), ["bad"])
+            registry.apply(NoteTargetEnd(target="t", start=start, runs=runs))
+        self.assertEqual(list_quarantined(registry), ["bad"])
 
-    def test_ends_of_a_target_with_a_fixed_name_are_told_apart_by_their_time(self) -> None:
-        book = QuarantineBook()
+    def test_exits_of_a_target_that_keeps_its_name_are_told_apart_by_time(self) -> None:
+        registry = QuarantineBook()
         for at in (10.0, 10.1, 20.0, 20.1):
-            book.apply(replace(make_end(0, "bad", at=at), is_name_kept=True))
-        self.assertEqual(list_held(book), [])
-        book.apply(replace(make_end(0, "bad", at=30.0), is_name_kept=True))
-        self.assertEqual(list_held(book), ["bad"])
+            registry.apply(replace(make_exit(0, "bad", at=at), is_name_kept=True))
+        self.assertEqual(list_quarantined(registry), [])
+        registry.apply(replace(make_exit(0, "bad", at=30.0), is_name_kept=True))
+        self.assertEqual(list_quarantined(registry), ["bad"])
 
-    def test_bystanders_of_one_that_is_held_are_not(self) -> None:
-        book = make_book(
+    def test_requests_next_to_a_quarantined_one_are_not_quarantined(self) -> None:
+        registry = make_registry(
             ["bad", "a", "b"], ["bad", "a"], ["bad", "a", "c"], ["bad", "c", "b"], ["bad", "b"]
         )
-        self.assertEqual(list_held(book), ["bad"])
+        self.assertEqual(list_quarantined(registry), ["bad"])
 
-    def test_two_deadly_requests_are_both_held(self) -> None:
-        book = make_book(["x", "a"], ["x"], ["x", "y"], ["x"], ["y"], ["y", "a"], ["y"])
-        self.assertEqual(list_held(book), ["x", "y"])
+    def test_two_crashing_requests_are_both_quarantined(self) -> None:
+        registry = make_registry(["x", "a"], ["x"], ["x", "y"], ["x"], ["y"], ["y", "a"], ["y"])
+        self.assertEqual(list_quarantined(registry), ["x", "y"])
 
-    def test_word_that_comes_in_another_order_ends_with_the_same(self) -> None:
-        """For a moment the bystander stands in more ends than the one that did it."""
-        book = make_book(["bad", "a"], ["bad", "a"], ["a"])
-        self.assertEqual(list_held(book), ["a"])
+    def test_later_reports_move_the_quarantine_from_a_bystander_to_the_cause(self) -> None:
+        """At first a bystander is part of more exits than the cause."""
+        registry = make_registry(["bad", "a"], ["bad", "a"], ["a"])
+        self.assertEqual(list_quarantined(registry), ["a"])
         for number in (2, 3):
-            book.apply(make_end(number, "bad"))
-        self.assertEqual(list_held(book), ["bad"])
+            registry.apply(make_exit(number, "bad"))
+        self.assertEqual(list_quarantined(registry), ["bad"])
 
-    def test_two_that_always_come_together_are_held_late(self) -> None:
+    def test_requests_with_all_exits_in_common_need_more_exits(self) -> None:
         together = [["x", "y"]] * ENDS_TO_HOLD_ALIKE
-        self.assertEqual(list_held(make_book(*together[:-1])), [])
-        self.assertEqual(list_held(make_book(*together)), ["x", "y"])
-        self.assertEqual(list_held(make_book(*together[:3], ["x"])), ["x"])
+        self.assertEqual(list_quarantined(make_registry(*together[:-1])), [])
+        self.assertEqual(list_quarantined(make_registry(*together)), ["x", "y"])
+        self.assertEqual(list_quarantined(make_registry(*together[:3], ["x"])), ["x"])
 
-    def test_two_that_come_together_hide_no_third(self) -> None:
-        book = make_book(["x", "y"], ["x", "y"], ["x", "y"], ["z"], ["z"], ["z"])
-        self.assertEqual(list_held(book), ["z"])
+    def test_tied_requests_do_not_hide_a_third_one(self) -> None:
+        registry = make_registry(["x", "y"], ["x", "y"], ["x", "y"], ["z"], ["z"], ["z"])
+        self.assertEqual(list_quarantined(registry), ["z"])
 
 
 class ReleaseTest(unittest.TestCase):
-    def test_a_request_that_was_served_is_not_held(self) -> None:
-        book = make_book(["popular"], ["popular"])
-        self.assertEqual(book.list_for_entries().suspects, ("popular",))
-        book.apply(NoteSurvived(fingerprints=("popular",)))
-        book.apply(make_end(9, "popular"))
-        self.assertEqual(list_held(book), [])
+    def test_a_served_request_is_not_quarantined(self) -> None:
+        registry = make_registry(["popular"], ["popular"])
+        self.assertEqual(registry.list_for_entries().suspects, ("popular",))
+        registry.apply(NoteSurvived(fingerprints=("popular",)))
+        registry.apply(make_exit(9, "popular"))
+        self.assertEqual(list_quarantined(registry), [])
 
     def test_an_operator_releases_a_request(self) -> None:
-        book = make_book(["bad"], ["bad"], ["bad"])
-        before = book.revision
-        book.apply(ReleaseRequest(fingerprint="bad", operator="o", at=1.0))
-        self.assertEqual(list_held(book), [])
-        self.assertGreater(book.revision, before)
-
-    def test_ends_of_long_ago_are_forgotten(self) -> None:
-        book = QuarantineBook()
+        registry = make_registry(["bad"], ["bad"], ["bad"])
+        before = registry.revision
+        registry.apply(ReleaseRequest(fingerprint="bad", operator="o", at=1.0))
+        self.assertEqual(list_quarantined(registry), [])
+        self.assertGreater(registry.revision, before)
+
+    def test_old_exits_are_removed(self) -> None:
+        registry = QuarantineBook()
         for number in range(4):
-            book.apply(make_end(number, "bad", at=100.0 * number))
-        self.assertEqual(book.list_for_entries().held[0].until, 100.0 + COUNTED_SECONDS)
-        self.assertFalse(book.is_forgetful_at(COUNTED_SECONDS))
-        self.assertTrue(book.is_forgetful_at(COUNTED_SECONDS + 1.0))
-        book.apply(ForgetTargetEnds(before=99.0))
-        self.assertEqual(list_held(book), ["bad"])
-        book.apply(ForgetTargetEnds(before=101.0))
-        self.assertEqual(list_held(book), [])
-
-    def test_many_ends_of_others_do_not_release_it(self) -> None:
-        book = make_book(["bad"], ["bad"], ["bad"])
+            registry.apply(make_exit(number, "bad", at=100.0 * number))
+        self.assertEqual(registry.list_for_entries().held[0].until, 100.0 + COUNTED_SECONDS)
+        self.assertFalse(registry.is_forgetful_at(COUNTED_SECONDS))
+        self.assertTrue(registry.is_forgetful_at(COUNTED_SECONDS + 1.0))
+        registry.apply(ForgetTargetEnds(before=99.0))
+        self.assertEqual(list_quarantined(registry), ["bad"])
+        registry.apply(ForgetTargetEnds(before=101.0))
+        self.assertEqual(list_quarantined(registry), [])
+
+    def test_many_other_exits_do_not_release_a_request(self) -> None:
+        registry = make_registry(["bad"], ["bad"], ["bad"])
         for number in range(3, 2 * MOST_ENDS):
-            book.apply(make_end(number, f"other-{number}"))
-        self.assertEqual(list_held(book), ["bad"])
-        self.assertEqual(len(book.snapshot().ends), MOST_ENDS)
+            registry.apply(make_exit(number, f"other-{number}"))
+        self.assertEqual(list_quarantined(registry), ["bad"])
+        self.assertEqual(len(registry.snapshot().ends), MOST_ENDS)
 
-    def test_an_end_with_hundreds_of_requests_keeps_the_shortest_runs(self) -> None:
-        book = QuarantineBook()
+    def test_an_exit_with_hundreds_of_requests_keeps_the_shortest_runs(self) -> None:
+        registry = QuarantineBook()
         for number in range(3):
-            book.apply(make_end(number, *(f"{number}-{other}" for other in range(300)), seconds=2))
-            book.apply(make_end(number, "bad", seconds=0.1))
-        self.assertEqual(list_held(book), ["bad"])
-
-
-class ServedLatelyTest(unittest.TestCase):
-    def test_a_good_end_speaks_for_a_request_for_a_minute(self) -> None:
-        served = ServedLately()
-        self.assertFalse(served.has("a", 0.0))
-        served.note("a", 10.0)
-        self.assertTrue(served.has("a", 9.9 + SERVED_SECONDS))
-        self.assertFalse(served.has("a", 10.0 + SERVED_SECONDS))
-
-    def test_the_oldest_are_forgotten(self) -> None:
-        served = ServedLately()
-        for number in range(MOST_SERVED + 1):
-            served.note(f"r{number % MOST_SERVED}", 0.0)
-        self.assertTrue(served.has("r0", 1.0))
-        served.note("new", 0.0)
-        self.assertFalse(served.has("r1", 1.0))
-        self.assertTrue(served.has("r0", 1.0))
+            registry.apply(
+                make_exit(number, *(f"{number}-{other}" for other in range(300)), seconds=2)
+            )
+            registry.apply(make_exit(number, "bad", seconds=0.1))
+        self.assertEqual(list_quarantined(registry), ["bad"])
+
+
+class RecentlyServedTest(unittest.TestCase):
+    def test_a_served_request_counts_as_recent_for_a_minute(self) -> None:
+        served = RecentlyServed()
+        self.assertFalse(served.contains("a", 0.0))
+        served.record("a", 10.0)
+        self.assertTrue(served.contains("a", 9.9 + SERVED_SECONDS))
+        self.assertFalse(served.contains("a", 10.0 + SERVED_SECONDS))
+
+    def test_the_oldest_requests_are_dropped(self) -> None:
+        served = RecentlyServed()
+        for number in range(MAX_SERVED + 1):
+            served.record(f"r{number % MAX_SERVED}", 0.0)
+        self.assertTrue(served.contains("r0", 1.0))
+        served.record("new", 0.0)
+        self.assertFalse(served.contains("r1", 1.0))
+        self.assertTrue(served.contains("r0", 1.0))
 
 
 class StateTest(unittest.TestCase):
     def test_a_snapshot_holds_everything(self) -> None:
-        book = make_book(["bad", "a"], ["bad"], ["bad"])
-        text = encode_text(book.snapshot(), QuarantineSnapshot)
-        again = QuarantineBook(decode_bytes(text, QuarantineSnapshot))
-        self.assertEqual(again.list_for_entries(), book.list_for_entries())
-        self.assertEqual(again.snapshot(), book.snapshot())
+        registry = make_registry(["bad", "a"], ["bad"], ["bad"])
+        text = encode_text(registry.snapshot(), QuarantineSnapshot)
+        restored = QuarantineBook(decode_bytes(text, QuarantineSnapshot))
+        self.assertEqual(restored.list_for_entries(), registry.list_for_entries())
+        self.assertEqual(restored.snapshot(), registry.snapshot())
 
     def test_the_revision_rises_only_with_the_list(self) -> None:
-        book = make_book(["a"], ["b"])
-        self.assertEqual(book.revision, 0)
-        book.apply(make_end(2, "a"))
-        self.assertEqual(book.revision, 1)
+        registry = make_registry(["a"], ["b"])
+        self.assertEqual(registry.revision, 0)
+        registry.apply(make_exit(2, "a"))
+        self.assertEqual(registry.revision, 1)
 
     @given(
         st.lists(st.sets(st.sampled_from("abcdef"), min_size=1), max_size=8),
         st.randoms(use_true_random=False),
     )
-    def test_the_order_of_word_does_not_matter(
-        self, ends: list[set[str]], randomness: random.Random
+    def test_the_order_of_reports_does_not_matter(
+        self, exits: list[set[str]], randomness: random.Random
     ) -> None:
-        """Each box tells its own part of an end; whatever comes first, the list is the same."""
-        told = [(number, name) for number, names in enumerate(ends) for name in sorted(names)]
-        books = []
+        """Each box reports its own requests of an exit, in any order."""
+        reported = [(number, name) for number, names in enumerate(exits) for name in sorted(names)]
+        registries = []
         for _ in range(2):
-            book = QuarantineBook()
-            for number, name in told:
-                book.apply(make_end(number, name))
-            books.append(book)
-            randomness.shuffle(told)
-        first, second = (book.list_for_entries() for book in books)
+            registry = QuarantineBook()
+            for number, name in reported:
+                registry.apply(make_exit(number, name))
+            registries.append(registry)
+            randomness.shuffle(reported)
+        first, second = (registry.list_for_entries() for registry in registries)
         self.assertEqual(first.held, second.held)
         self.assertEqual(first.suspects, second.suspects)
 
-    def test_reports_of_a_lost_rack_do_not_have_the_list_made_anew(self) -> None:
-        """200 reports took 9.48 s of a processor when they did, and 0.02 s since."""
-        book = QuarantineBook()
+    def test_reports_of_a_lost_rack_do_not_rebuild_the_list(self) -> None:
+        """Rebuilding it for each of hundreds of reports would take seconds."""
+        registry = QuarantineBook()
         for number in range(MOST_ENDS):
-            book.apply(make_end(number, *(f"{number}-{other}" for other in range(40))))
-        with mock.patch.object(book, "_make_list") as make:
+            registry.apply(make_exit(number, *(f"{number}-{other}" for other in range(40))))
+        with mock.patch.object(registry, "_make_list") as rebuild:
             for number in range(200):
-                book.apply(make_end(1_000 + number % 10, *(f"r{number}-{n}" for n in range(24))))
-        make.assert_not_called()
+                registry.apply(
+                    make_exit(1_000 + number % 10, *(f"r{number}-{n}" for n in range(24)))
+                )
+        rebuild.assert_not_called()
 
     @given(
         st.lists(st.sets(st.sampled_from("abcd"), max_size=3), min_size=3, max_size=10),
     )
-    def test_one_in_every_end_and_no_other_so_is_the_one(self, others: list[set[str]]) -> None:
-        book = make_book(*([*sorted(names), "bad"] for names in others))
+    def test_the_only_request_in_every_exit_is_the_cause(self, others: list[set[str]]) -> None:
+        registry = make_registry(*([*sorted(names), "bad"] for names in others))
         is_alone = all(any(name not in names for names in others) for name in "abcd")
         if is_alone:
-            self.assertEqual(list_held(book), ["bad"])
+            self.assertEqual(list_quarantined(registry), ["bad"])
 
 
 if __name__ == "__main__":
--- a/packages/damsonlaned/src/damsonlaned/quarantine/_quarantine.py
+++ b/packages/damsonlaned/src/damsonlaned/quarantine/_quarantine.py
@@ -15,7 +15,7 @@
     NoteTargetEnd,
     QuarantineBook,
     QuarantineList,
-    ServedLately,
+    RecentlyServed,
 )
 from damsonlaned.quarantine._known import KnownQuarantine
 from damsonlaned.quarantine._probe import LostTarget
@@ -56,7 +56,7 @@
         self._submit: Final = submit
         #: What control does not know yet; what it knows may be released there meanwhile.
         self._own = QuarantineBook()
-        self._served: Final = ServedLately()
+        self._served: Final = RecentlyServed()
         self._waiting: list[Report] = []
         self._told: Final = asyncio.Event()
         self._told.set()
@@ -82,7 +82,7 @@
     def take_end(self, lost: LostTarget, runs: Sequence[BrokenRun]) -> None:
         """Take a target that ended, with what broke off there."""
         now = asyncio.get_running_loop().time()
-        suspects = tuple(run for run in runs if not self._served.has(run.fingerprint, now))
+        suspects = tuple(run for run in runs if not self._served.contains(run.fingerprint, now))
         if not suspects:
             return
         at = round(time.time(), 3)
@@ -98,7 +98,7 @@
 
     def note_served(self, fingerprint: str) -> None:
         """Note a request that a target served to a good end."""
-        self._served.note(fingerprint, asyncio.get_running_loop().time())
+        self._served.record(fingerprint, asyncio.get_running_loop().time())
         if self.is_suspect(fingerprint) or self.find_held(fingerprint) is not None:
             self._tell(NoteSurvived(fingerprints=(fingerprint,)))
 
