--- a/packages/damsonlane/src/damsonlane/coldness/__init__.py
+++ b/packages/damsonlane/src/damsonlane/coldness/__init__.py
@@ -1,4 +1,4 @@
-"""Cold targets: how many requests a second they may get, and from whom."""
+"""Targets that are warming up: how many requests a second they may get, and from whom."""
 
 from damsonlane.coldness._changes import ColdNews
 from damsonlane.coldness._limit import ColdAllowance, ColdBound
--- a/packages/damsonlane/src/damsonlane/coldness/_changes.py
+++ b/packages/damsonlane/src/damsonlane/coldness/_changes.py
@@ -1,40 +1,40 @@
-"""Which heartbeats say something new of how long a target stays cold."""
+"""Detection of heartbeats that change how long a target warms up."""
 
 from typing import Final
 
 from damsonlane.targets import TargetRecord
 
-#: Seconds by which a heartbeat must lengthen what was noted to be news: heartbeats travel for
-#: some tenths of a second, so the end that each of them tells moves a little.
+#: Seconds by which a heartbeat must postpone the end of the warm-up to count as a change: the
+#: latency of heartbeats varies by some tenths of a second, and so does the end they report.
 TOLERANCE_SECONDS: Final = 0.25
 
 
 class ColdNews:
-    """Remembers until when each target was said to be cold.
+    """Remembers until when each target warms up, as it last reported.
 
-    Each heartbeat of a cold target tells another time that is left; only one that says that it
-    turned cold, is cold for longer, or is warm again has to reach the entries.
+    Every heartbeat of a target that is warming up reports another remaining time.  Entries need
+    only those that report the start, an extension, or the end of a warm-up.
     """
 
     def __init__(self) -> None:
-        self._noted_until: dict[str, float] = {}
+        self._cold_until: dict[str, float] = {}
 
     def is_news(self, record: TargetRecord, known: TargetRecord, now: float) -> bool:
-        """Tell whether a heartbeat must be noted for what it says of coldness.
+        """Return whether a heartbeat changes the warm-up of its target.
 
         Args:
-            record: what the heartbeat says.
-            known: what the registry holds of the target.
+            record: the record in the heartbeat.
+            known: the record in the registry.
             now: the time by the monotonic clock.
         """
         if record.cold_seconds <= 0:
             return known.cold_seconds > 0
-        noted = self._noted_until.get(record.target, 0.0) if known.cold_seconds > 0 else 0.0
-        return now + record.cold_seconds > noted + TOLERANCE_SECONDS
+        cold_until = self._cold_until.get(record.target, 0.0) if known.cold_seconds > 0 else 0.0
+        return now + record.cold_seconds > cold_until + TOLERANCE_SECONDS
 
     def note(self, record: TargetRecord, now: float) -> None:
-        """Note a heartbeat that was noted in the registry."""
+        """Record a heartbeat that was stored in the registry."""
         if record.cold_seconds > 0:
-            self._noted_until[record.target] = now + record.cold_seconds
+            self._cold_until[record.target] = now + record.cold_seconds
         else:
-            self._noted_until.pop(record.target, None)
+            self._cold_until.pop(record.target, None)
--- a/packages/damsonlane/src/damsonlane/coldness/_limiter.py
+++ b/packages/damsonlane/src/damsonlane/coldness/_limiter.py
@@ -1,25 +1,25 @@
-"""Counting what is sent to cold targets."""
+"""A sliding-window rate limiter for targets that are warming up."""
 
 from collections import deque
 from typing import Final
 
-#: Seconds over which requests are counted: the second in which they may arrive, and a fifth
-#: for the different times that they travel.
+#: Window over which requests are counted, in seconds: the second in which they may arrive, and
+#: 0.2 s for differences in latency.
 WINDOW_SECONDS: Final = 1.2
 
 
 class ColdGate:
-    """Tells whether a cold target may get one more request from this sender."""
+    """Limits the requests that this sender sends to each target that is warming up."""
 
     def __init__(self) -> None:
         self._sent: dict[str, deque[float]] = {}
 
     def admits(self, target: str, limit: int, now: float) -> bool:
-        """Tell whether a target may get one more request.
+        """Return whether a target may get one more request.
 
         Args:
-            target: its name.
-            limit: requests that it may get from here in a second.
+            target: name of the target.
+            limit: requests a second that it may get from this sender.
             now: the time by the monotonic clock.
         """
         sent = self._sent.get(target)
@@ -30,10 +30,10 @@
         return len(sent) < limit
 
     def note(self, target: str, now: float) -> None:
-        """Note a request that is sent to a target."""
+        """Record a request that is sent to a target."""
         self._sent.setdefault(target, deque()).append(now)
 
     def forget_others(self, targets: set[str]) -> None:
-        """Forget the targets that are not among some."""
+        """Drop the records of all targets but the given ones."""
         for target in set(self._sent) - targets:
             del self._sent[target]
