--- a/packages/damsonlane/src/damsonlane/evacuation/__init__.py
+++ b/packages/damsonlane/src/damsonlane/evacuation/__init__.py
@@ -1,4 +1,4 @@
-"""Evacuating data centres: an agreed state of control beside the settings."""
+"""Evacuation of data centres: replicated state of control in addition to the settings."""
 
 from damsonlane.evacuation._evacuations import (
     EvacuateDataCentre,
--- a/packages/damsonlane/src/damsonlane/evacuation/_evacuations.py
+++ b/packages/damsonlane/src/damsonlane/evacuation/_evacuations.py
@@ -1,8 +1,8 @@
-"""Data centres whose targets get nothing new, as operators ordered it.
+"""Data centres that operators evacuated: their targets get no new requests.
 
-An order is a command of the replicated log: once it is committed it survives whatever the
-settings survive.  Orders have no versions, so of two that cross the one committed last holds;
-one that says what holds already changes nothing and is accepted again.
+Evacuations and restorations are commands of the replicated log and as durable as the settings.
+They have no versions: of two concurrent commands the one committed last wins.  A command that
+asks for the current state changes nothing and is accepted.
 """
 
 from dataclasses import dataclass
@@ -11,37 +11,37 @@
 
 @dataclass(frozen=True, kw_only=True)
 class EvacuateDataCentre:
-    """Nothing new is to be sent to the targets of a data centre."""
+    """Command: send no new requests to the targets of a data centre."""
 
     kind: Literal["evacuate-data-centre"] = "evacuate-data-centre"
     #: The data centre.
     data_centre: str
-    #: Drawn for each call, so that a line of the log can be matched with the state.
+    #: Random id of the operator's call, to match log lines with the state.
     call: str
-    #: Who asks.
+    #: The operator.
     operator: str
-    #: When it was asked, in seconds since 1970.
+    #: Time of the call, in seconds since 1970.
     at: float
 
 
 @dataclass(frozen=True, kw_only=True)
 class RestoreDataCentre:
-    """The targets of a data centre are to be used again."""
+    """Command: use the targets of a data centre again."""
 
     kind: Literal["restore-data-centre"] = "restore-data-centre"
     #: The data centre.
     data_centre: str
-    #: Drawn for each call.
+    #: Random id of the operator's call.
     call: str
-    #: Who asks.
+    #: The operator.
     operator: str
-    #: When it was asked, in seconds since 1970.
+    #: Time of the call, in seconds since 1970.
     at: float
 
 
 @dataclass(frozen=True, kw_only=True)
 class EvacuationNoted:
-    """The reply to both: the caller may take the order as accepted."""
+    """The reply to both commands: the command was accepted."""
 
     kind: Literal["evacuation-noted"] = "evacuation-noted"
     #: Whether this command changed anything.
@@ -54,11 +54,11 @@
 
     #: Its name.
     data_centre: str
-    #: The call that asked for it first.
+    #: Id of the call that evacuated it.
     call: str
-    #: Who asked.
+    #: The operator.
     operator: str
-    #: When it was asked, in seconds since 1970.
+    #: Time of the call, in seconds since 1970.
     at: float
 
 
@@ -68,22 +68,22 @@
 
     #: Number of changes so far.
     revision: int = 0
-    #: Data centres that are evacuated, in the order in which they were.
+    #: Evacuated data centres, in the order of their evacuation.
     evacuations: tuple[Evacuation, ...] = ()
 
 
 @dataclass(frozen=True, kw_only=True)
 class EvacuationList:
-    """What entries are told: all data centres that are evacuated at a revision."""
+    """All evacuated data centres at a revision, as sent to entries."""
 
-    #: Number of changes that led there; a lower one is older.
+    #: Number of changes so far; a lower one is older.
     revision: int
     #: Names of the data centres.
     data_centres: tuple[str, ...]
 
 
 class Evacuations:
-    """Applies the orders of operators."""
+    """Applies the commands of operators."""
 
     def __init__(self, snapshot: EvacuationsSnapshot | None = None) -> None:
         start = snapshot or EvacuationsSnapshot()
@@ -95,21 +95,21 @@
         return EvacuationsSnapshot(revision=self.revision, evacuations=self.evacuations())
 
     def evacuations(self) -> tuple[Evacuation, ...]:
-        """Return what is evacuated, in the order in which it was."""
+        """Return the evacuated data centres, in the order of their evacuation."""
         return tuple(self._evacuations.values())
 
     def list_for_entries(self) -> EvacuationList:
-        """Return what entries are told."""
+        """Return the list that is sent to entries."""
         return EvacuationList(revision=self.revision, data_centres=tuple(self._evacuations))
 
     def apply(self, command: EvacuateDataCentre | RestoreDataCentre) -> EvacuationNoted:
-        """Apply one command; what holds already stays as it is."""
+        """Apply one command; it changes nothing if it asks for the current state."""
         name = command.data_centre
-        is_wanted = isinstance(command, EvacuateDataCentre)
-        if is_wanted == (name in self._evacuations):
+        is_evacuation = isinstance(command, EvacuateDataCentre)
+        if is_evacuation == (name in self._evacuations):
             return EvacuationNoted(is_changed=False)
         self.revision += 1
-        if is_wanted:
+        if is_evacuation:
             self._evacuations[name] = Evacuation(
                 data_centre=name, call=command.call, operator=command.operator, at=command.at
             )
--- a/packages/damsonlane/src/damsonlane/evacuation/tests/test_evacuations.py
+++ b/packages/damsonlane/src/damsonlane/evacuation/tests/test_evacuations.py
@@ -1,4 +1,4 @@
-"""The agreed state of evacuated data centres."""
+"""The replicated state of evacuated data centres."""
 
 import unittest
 
@@ -37,7 +37,7 @@
             self.assertEqual(self.state.revision, number + 1)
         self.assertEqual(self.names(), ("dha",))
 
-    def test_a_repeated_order_is_accepted_and_changes_nothing(self) -> None:
+    def test_a_repeated_command_is_accepted_and_changes_nothing(self) -> None:
         self.state.apply(evacuate("johar", "c1"))
         self.assertFalse(self.state.apply(evacuate("johar", "c2")).is_changed)
         self.assertEqual(self.state.revision, 1)
@@ -45,22 +45,24 @@
         self.assertFalse(self.state.apply(restore("dha")).is_changed)
         self.assertEqual(self.names(), ("johar",))
 
-    def test_of_orders_that_cross_the_last_one_committed_holds(self) -> None:
+    def test_of_concurrent_commands_the_last_one_committed_wins(self) -> None:
         self.state.apply(evacuate("johar"))
         self.state.apply(restore("johar"))
         self.state.apply(evacuate("johar", "late resend"))
         self.assertEqual(self.names(), ("johar",))
 
-    def test_the_cluster_s_snapshot_keeps_who_asked_and_when(self) -> None:
+    def test_the_snapshot_of_the_cluster_stores_operator_and_time(self) -> None:
         state = ClusterState()
         command = evacuate("johar")
         state.apply(decode_command(encode_command(command)))
         copy = ClusterState.from_text(state.to_text())
         self.assertEqual(copy.evacuations.snapshot(), state.evacuations.snapshot())
-        (kept,) = copy.evacuations.evacuations()
-        self.assertEqual((kept.data_centre, kept.operator, kept.at), ("johar", "mei", 5.0))
+        (restored,) = copy.evacuations.evacuations()
+        self.assertEqual(
+            (restored.data_centre, restored.operator, restored.at), ("johar", "mei", 5.0)
+        )
 
-    def test_a_snapshot_of_an_older_program_holds_none(self) -> None:
+    def test_a_snapshot_of_an_older_version_has_no_evacuations(self) -> None:
         self.assertEqual(ClusterState.from_text("{}").evacuations.revision, 0)
 
 
