--- a/packages/damsonlane/src/damsonlane/targets/__init__.py
+++ b/packages/damsonlane/src/damsonlane/targets/__init__.py
@@ -1,4 +1,4 @@
-"""Targets that register themselves: their records and the replicated registry."""
+"""Records of targets that register themselves, and the replicated registry."""
 
 from damsonlane.targets._checks import find_record_fault
 from damsonlane.targets._records import (
--- a/packages/damsonlane/src/damsonlane/targets/_checks.py
+++ b/packages/damsonlane/src/damsonlane/targets/_checks.py
@@ -1,4 +1,4 @@
-"""What a target may say of itself."""
+"""Checks of the records that targets send."""
 
 import ipaddress
 import math
@@ -6,16 +6,17 @@
 
 from damsonlane.targets._records import TargetRecord
 
-#: Longest name of a target, a service or a data centre.
-MOST_NAME: Final = 200
-#: Longest time for which a target may say that it is cold, in seconds; a day.
-MOST_COLD_SECONDS: Final = 86_400.0
+#: Longest name of a target, a service or a data centre, in characters.
+MAX_NAME_LENGTH: Final = 200
+#: Longest warm-up that a target may announce, in seconds.
+MAX_WARMUP_SECONDS: Final = 86_400.0
 
 
 def find_record_fault(record: TargetRecord) -> str:
     """Return what is wrong with a record, or an empty string.
 
-    What passes can be written into headers, connected to and counted with.
+    The names of a correct record are valid in headers, its address can be connected to, and its
+    numbers can be used in calculations.
     """
     names = {
         "target": record.target,
@@ -24,21 +25,26 @@
     }
     for field, name in names.items():
         if not _is_name(name):
-            return f"the name of the {field} must be 1 to {MOST_NAME} printable characters"
-    if not _is_endpoint(record.address):
+            return f"the name of the {field} must be 1 to {MAX_NAME_LENGTH} printable characters"
+    if not _is_address(record.address):
         return "the address must be an IP number and a port"
     if record.slots < 0 or record.sequence < 0 or record.start < 0:
         return "slots, count and start must not be negative"
-    if not 0.0 <= record.cold_seconds <= MOST_COLD_SECONDS or math.isnan(record.cold_seconds):
-        return f"the time left cold must be 0 to {MOST_COLD_SECONDS:.0f} seconds"
+    if not 0.0 <= record.cold_seconds <= MAX_WARMUP_SECONDS or math.isnan(record.cold_seconds):
+        return f"the time left cold must be 0 to {MAX_WARMUP_SECONDS:.0f} seconds"
     return ""
 
 
 def _is_name(name: str) -> bool:
-    return 0 < len(name) <= MOST_NAME and name.isascii() and name.isprintable() and " " not in name
+    return (
+        0 < len(name) <= MAX_NAME_LENGTH
+        and name.isascii()
+        and name.isprintable()
+        and " " not in name
+    )
 
 
-def _is_endpoint(address: str) -> bool:
+def _is_address(address: str) -> bool:
     host, _, port = address.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
--- a/packages/damsonlane/src/damsonlane/targets/_records.py
+++ b/packages/damsonlane/src/damsonlane/targets/_records.py
@@ -1,21 +1,22 @@
-"""One target as its heartbeats tell it, and the commands that change its record."""
+"""Records of targets as heartbeats report them, and the commands that change them."""
 
 from dataclasses import dataclass, replace
 from typing import Literal
 
-#: ``silent`` targets are not heard any more; ``leaving`` ones take nothing new.
+#: ``silent`` targets send no heartbeats any more; ``leaving`` ones are draining and get no new
+#: requests.
 TargetStanding = Literal["live", "silent", "leaving"]
 
 
 @dataclass(frozen=True, kw_only=True)
 class TargetRecord:
-    """One start of a target.
+    """One incarnation of a target.
 
-    Its name and its start tell it apart: another target may be given its address,
-    and the same one may start again under its name, without anything it held before.
+    It is identified by its name and its start: another target may be given its address, and a
+    restarted target may have the same name but has no state of the earlier one.
     """
 
-    #: Its name.
+    #: Name of the target.
     target: str
     #: Service that it belongs to.
     service: str
@@ -27,12 +28,12 @@
     slots: int
     #: Whether it may be used.
     standing: TargetStanding
-    #: Number of the heartbeat that said so; it rises with each one since its start.
+    #: Number of the heartbeat that reported this; it rises with each heartbeat since the start.
     sequence: int
-    #: When it started, by its own clock in Unix milliseconds; 0 where it does not say.
+    #: When it started, in milliseconds since 1970 by its own clock; 0 where it is not reported.
     start: int = 0
-    #: Seconds for which it is still cold, from the heartbeat on: it bears only a few
-    #: requests a second until then.
+    #: Seconds of warm-up that are left at the heartbeat; until then it can serve only a few
+    #: requests a second.
     cold_seconds: float = 0.0
 
     def with_standing(self, standing: TargetStanding) -> "TargetRecord":
@@ -42,27 +43,27 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RegisterTarget:
-    """A target is new, or says something new of itself."""
+    """Command: store the record of a new target, or a newer record of a known one."""
 
     kind: Literal["register-target"] = "register-target"
-    #: What it says.
+    #: The record that it sent.
     record: TargetRecord
 
 
 @dataclass(frozen=True, kw_only=True)
 class RemoveTarget:
-    """A target says that it is gone."""
+    """Command: remove a target that announced that it stops."""
 
     kind: Literal["remove-target"] = "remove-target"
     #: Its name.
     target: str
-    #: Its start; 0 where it does not say.
+    #: Its start; 0 where it is not reported.
     start: int = 0
 
 
 @dataclass(frozen=True, kw_only=True)
 class SilenceTargets:
-    """Targets were not heard for so long that they are the last choice."""
+    """Command: mark targets without recent heartbeats, which become the last choice."""
 
     kind: Literal["silence-targets"] = "silence-targets"
     #: Their names.
@@ -71,7 +72,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class TargetNoted:
-    """The reply to all of these."""
+    """The reply to all commands about targets."""
 
     kind: Literal["target-noted"] = "target-noted"
     #: Whether the registry changed.
--- a/packages/damsonlane/src/damsonlane/targets/_registry.py
+++ b/packages/damsonlane/src/damsonlane/targets/_registry.py
@@ -11,37 +11,35 @@
     TargetRecord,
 )
 
-#: Names of gone targets that are remembered, so that a late heartbeat can't
-#: bring one back; a few hours' worth at 200 restarts a day.
-GONE_REMEMBERED: Final = 512
+#: Most removed targets that are remembered, so that a delayed heartbeat does not add one again.
+MAX_REMOVED: Final = 512
 
-
-#: Newer heartbeats after which a target that was replaced at its address is back.  Word of
-#: a dead target that a cut held up replaces the one that lives there now; that one goes on
-#: calling.  One heartbeat alone may itself be late word.
+#: Newer heartbeats after which a target that was replaced at its address is registered again.  A
+#: delayed heartbeat of a dead target replaces the target that has its address now, which goes on
+#: sending heartbeats.  A single heartbeat may itself be a delayed one.
 HEARTBEATS_TO_RETURN: Final = 2
 
 
 @dataclass(frozen=True, kw_only=True)
-class GoneTarget:
-    """A target that left, or whose address another one has."""
+class RemovedTarget:
+    """A target that was removed, or replaced by another one at its address."""
 
-    #: Its name.
+    #: Name of the target.
     target: str
-    #: Revision of the registry at which it left.
+    #: Revision of the registry at which it was removed.
     revision: int
-    #: Number of its last heartbeat, if another target took its address; None if this start
-    #: of it left for good.
+    #: Number of its last heartbeat, if another target replaced it; None if this incarnation
+    #: was removed for good.
     sequence: int | None = None
-    #: Its start; None while no heartbeat has told it.
+    #: Its start; None while no heartbeat has reported it.
     start: int | None = None
-    #: Newer heartbeats since then.
+    #: Number of newer heartbeats since then.
     heartbeats: int = 0
 
 
 @dataclass(frozen=True, kw_only=True)
-class KnownTarget:
-    """A target that is there."""
+class RegisteredTarget:
+    """A registered target."""
 
     #: Its record.
     record: TargetRecord
@@ -55,25 +53,25 @@
 
     #: Number of changes so far.
     revision: int = 0
-    #: Targets that are there.
-    known: tuple[KnownTarget, ...] = ()
-    #: Targets that left, oldest first.
-    gone: tuple[GoneTarget, ...] = ()
-    #: Revision up to which departures are forgotten.
+    #: Registered targets.
+    known: tuple[RegisteredTarget, ...] = ()
+    #: Removed targets, oldest first.
+    gone: tuple[RemovedTarget, ...] = ()
+    #: Revision up to which removals are no longer remembered.
     forgotten_revision: int = 0
 
 
 @dataclass(frozen=True, kw_only=True)
 class TargetChanges:
-    """What takes a reader from one revision to a later one."""
+    """The changes from one revision to a later one."""
 
     #: The later revision.
     revision: int
     #: Records that are new or changed.
     records: tuple[TargetRecord, ...] = ()
-    #: Names of targets that left.
+    #: Names of removed targets.
     gone: tuple[str, ...] = ()
-    #: Whether the records are all there are, so that any other is gone.
+    #: Whether the records are complete, so that all other targets are removed.
     is_whole: bool = False
 
 
@@ -84,7 +82,7 @@
         start = snapshot or TargetsSnapshot()
         self.revision = start.revision
         self._known = {known.record.target: known for known in start.known}
-        self._gone = {gone.target: gone for gone in start.gone}
+        self._removed = {gone.target: gone for gone in start.gone}
         self._forgotten_revision = start.forgotten_revision
 
     def snapshot(self) -> TargetsSnapshot:
@@ -92,7 +90,7 @@
         return TargetsSnapshot(
             revision=self.revision,
             known=tuple(self._known[name] for name in sorted(self._known)),
-            gone=tuple(self._gone.values()),
+            gone=tuple(self._removed.values()),
             forgotten_revision=self._forgotten_revision,
         )
 
@@ -106,12 +104,12 @@
         return known.record if known else None
 
     def is_gone(self, target: str) -> bool:
-        """Tell whether a target has left for good."""
-        gone = self._gone.get(target)
+        """Return whether a target was removed for good."""
+        gone = self._removed.get(target)
         return gone is not None and gone.sequence is None
 
     def changes_after(self, revision: int) -> TargetChanges:
-        """Return what changed after a revision; everything when that is too long ago."""
+        """Return the changes after a revision, or all records if those are not known any more."""
         if revision == 0 or revision < self._forgotten_revision or revision > self.revision:
             return TargetChanges(revision=self.revision, records=self.records(), is_whole=True)
         return TargetChanges(
@@ -119,7 +117,7 @@
             records=tuple(
                 known.record for known in self._known.values() if known.revision > revision
             ),
-            gone=tuple(gone.target for gone in self._gone.values() if gone.revision > revision),
+            gone=tuple(gone.target for gone in self._removed.values() if gone.revision > revision),
         )
 
     def apply(self, command: RegisterTarget | RemoveTarget | SilenceTargets) -> TargetNoted:
@@ -128,7 +126,7 @@
             case RegisterTarget(record=record):
                 return TargetNoted(is_changed=self._register(record))
             case RemoveTarget():
-                return TargetNoted(is_changed=self._leave(command))
+                return TargetNoted(is_changed=self._apply_removal(command))
             case SilenceTargets(targets=targets):
                 changes = [self._silence(target) for target in targets]
                 return TargetNoted(is_changed=any(changes))
@@ -136,81 +134,83 @@
     def _register(self, record: TargetRecord) -> bool:
         others = self._list_others_at(record)
         if any(other.start > record.start > 0 for other in others):
-            # Its address belongs to a target that started later: this is late word of a dead one.
+            # Its address belongs to a target that started later: a delayed heartbeat.
             return False
-        if record.target in self._gone and not self._may_return(record):
+        if record.target in self._removed and not self._may_return(record):
             return False
         known = self._known.get(record.target)
         if known is not None and not _is_newer(record, known.record):
             return False
-        if known is not None and _has_left(record, known.record):
-            # Leaving is for good: the target ends soon, whatever a confused heartbeat says.
+        if known is not None and _was_draining(record, known.record):
+            # Draining is irrevocable: the target stops soon, whatever a later heartbeat reports.
             record = record.with_standing("leaving")
         for other in others:
-            # Two targets can't hold one address, so the one heard later replaced the other.
+            # Two targets can't have one address, so the one reported later replaced the other.
             self._remove(other.target, other.sequence)
         self._store(record)
         return True
 
     def _may_return(self, record: TargetRecord) -> bool:
-        """Count a heartbeat of a target that is gone; tell whether it is there after all."""
-        gone = self._gone[record.target]
+        """Count a heartbeat of a removed target; return whether to register it again."""
+        gone = self._removed[record.target]
         if gone.start is None:
-            self._gone[record.target] = replace(gone, start=record.start)
+            self._removed[record.target] = replace(gone, start=record.start)
             return False
         if record.start != gone.start:
-            return self._return_if(record.start > gone.start, record)
+            return self._restore_if(record.start > gone.start, record)
         if gone.sequence is None or record.sequence <= gone.sequence:
             return False
         heartbeats = gone.heartbeats + 1
-        self._gone[record.target] = replace(gone, sequence=record.sequence, heartbeats=heartbeats)
-        return self._return_if(heartbeats >= HEARTBEATS_TO_RETURN, record)
+        self._removed[record.target] = replace(
+            gone, sequence=record.sequence, heartbeats=heartbeats
+        )
+        return self._restore_if(heartbeats >= HEARTBEATS_TO_RETURN, record)
 
-    def _return_if(self, is_there: bool, record: TargetRecord) -> bool:
-        """Forget that a target is gone if it is there; tell whether it is."""
-        if is_there:
-            del self._gone[record.target]
-        return is_there
+    def _restore_if(self, is_alive: bool, record: TargetRecord) -> bool:
+        """Drop the removal of a target if it is alive; return whether it is."""
+        if is_alive:
+            del self._removed[record.target]
+        return is_alive
 
     def _list_others_at(self, record: TargetRecord) -> tuple[TargetRecord, ...]:
-        """Return the records of other targets at the address of one."""
+        """Return the records of other targets that have the same address."""
         return tuple(
             other
             for other in self.records()
             if other.address == record.address and other.target != record.target
         )
 
-    def _leave(self, command: RemoveTarget) -> bool:
+    def _apply_removal(self, command: RemoveTarget) -> bool:
         known = self._known.get(command.target)
         if known is not None and known.record.start > command.start > 0:
             return False
-        gone = self._gone.get(command.target)
+        gone = self._removed.get(command.target)
         if gone is not None and gone.sequence is None and command.start <= (gone.start or 0):
             return False
         return self._remove(command.target, start=command.start)
 
     def _remove(self, target: str, sequence: int | None = None, *, start: int = 0) -> bool:
         self.revision += 1
-        self._gone[target] = GoneTarget(
+        self._removed[target] = RemovedTarget(
             target=target,
             revision=self.revision,
             sequence=sequence,
             start=self._find_last_start(target, start),
         )
         self._known.pop(target, None)
-        while len(self._gone) > GONE_REMEMBERED:
-            oldest = next(iter(self._gone))
-            self._forgotten_revision = self._gone.pop(oldest).revision
+        while len(self._removed) > MAX_REMOVED:
+            oldest = next(iter(self._removed))
+            self._forgotten_revision = self._removed.pop(oldest).revision
         return True
 
-    def _find_last_start(self, target: str, told: int) -> int | None:
-        """Return the last start of a target that leaves; None if nobody told it."""
+    def _find_last_start(self, target: str, reported: int) -> int | None:
+        """Return the last start of a target that is removed; None if it was never reported."""
         known = self._known.get(target)
         if known is not None:
-            return max(told, known.record.start)
-        gone = self._gone.get(target)
-        noted = gone.start if gone is not None else None
-        return told or noted
+            return max(reported, known.record.start)
+        gone = self._removed.get(target)
+        recorded = gone.start if gone is not None else None
+        return reported or recorded
 
     def _silence(self, target: str) -> bool:
         known = self._known.get(target)
@@ -221,14 +221,14 @@
 
     def _store(self, record: TargetRecord) -> None:
         self.revision += 1
-        self._known[record.target] = KnownTarget(record=record, revision=self.revision)
+        self._known[record.target] = RegisteredTarget(record=record, revision=self.revision)
 
 
 def _is_newer(record: TargetRecord, known: TargetRecord) -> bool:
-    """Tell whether a heartbeat says more than what is known: by start, then by count."""
+    """Return whether a heartbeat is newer than the known one, by start, then by sequence."""
     return (record.start, record.sequence) > (known.start, known.sequence)
 
 
-def _has_left(record: TargetRecord, known: TargetRecord) -> bool:
-    """Tell whether this start of a target said before that it leaves."""
+def _was_draining(record: TargetRecord, known: TargetRecord) -> bool:
+    """Return whether this incarnation of a target announced before that it is draining."""
     return known.standing == "leaving" and record.start == known.start
--- a/packages/damsonlane/src/damsonlane/targets/tests/test_registry.py
+++ b/packages/damsonlane/src/damsonlane/targets/tests/test_registry.py
@@ -15,7 +15,7 @@
     TargetRegistry,
     TargetsSnapshot,
 )
-from damsonlane.targets._registry import GONE_REMEMBERED
+from damsonlane.targets._registry import MAX_REMOVED
 
 RECORD = TargetRecord(
     target="t1",
@@ -40,24 +40,24 @@
         record = self.registry.find("t1")
         return record.standing if record else "unknown"
 
-    def test_a_late_heartbeat_does_not_revive_a_leaving_target(self) -> None:
+    def test_a_delayed_heartbeat_does_not_revive_a_draining_target(self) -> None:
         self.register()
         self.register(standing="leaving", sequence=5)
         self.assertFalse(self.register(sequence=4))
         self.assertEqual(self.standing(), "leaving")
 
-    def test_leaving_is_for_good(self) -> None:
+    def test_draining_is_irrevocable(self) -> None:
         self.register(standing="leaving")
         self.register(sequence=9)
         self.assertEqual(self.standing(), "leaving")
 
-    def test_a_late_heartbeat_does_not_bring_back_a_gone_target(self) -> None:
+    def test_a_delayed_heartbeat_does_not_restore_a_removed_target(self) -> None:
         self.register()
         self.registry.apply(RemoveTarget(target="t1"))
         self.assertFalse(self.register(sequence=9))
         self.assertEqual(self.standing(), "unknown")
 
-    def test_a_departure_before_any_heartbeat_holds(self) -> None:
+    def test_a_removal_before_any_heartbeat_stays_in_force(self) -> None:
         self.registry.apply(RemoveTarget(target="t1"))
         self.assertFalse(self.register())
 
@@ -67,15 +67,15 @@
         self.assertEqual(self.standing(), "unknown")
         self.assertEqual([record.target for record in self.registry.records()], ["t2"])
 
-    def test_late_word_of_a_replaced_target_does_not_bring_it_back(self) -> None:
+    def test_delayed_heartbeats_do_not_restore_a_replaced_target(self) -> None:
         self.register()
         self.register(target="t2", service="ledger")
         for sequence in (1, 2):
             self.assertFalse(self.register(sequence=sequence))
         self.assertEqual([record.target for record in self.registry.records()], ["t2"])
 
-    def test_a_target_that_late_word_of_a_dead_one_replaced_is_back_soon(self) -> None:
-        """Nothing was heard of the dead one before, since a cut held all its heartbeats up."""
+    def test_a_target_replaced_by_a_delayed_heartbeat_of_a_dead_one_is_soon_restored(self) -> None:
+        """A network partition delayed all heartbeats of the dead target."""
         self.register(sequence=7)
         self.register(target="dead", sequence=1)
         self.assertEqual(self.standing(), "unknown")
@@ -85,14 +85,14 @@
         self.assertFalse(self.register(target="dead", sequence=2))
         self.assertEqual(self.standing(), "live")
 
-    def test_a_replaced_target_that_says_it_leaves_is_gone_for_good(self) -> None:
+    def test_a_replaced_target_that_is_removed_is_not_restored(self) -> None:
         self.register(sequence=7)
         self.register(target="t2")
         self.registry.apply(RemoveTarget(target="t1"))
         for sequence in (8, 9, 10):
             self.assertFalse(self.register(sequence=sequence))
 
-    def test_who_reads_changes_sees_a_target_come_back(self) -> None:
+    def test_a_restored_target_is_in_the_changes(self) -> None:
         self.register(sequence=7)
         self.register(target="dead")
         revision = self.registry.revision
@@ -110,19 +110,19 @@
         self.registry = TargetRegistry(decode_bytes(text, TargetsSnapshot))
         self.assertTrue(self.register(sequence=9))
 
-    def test_a_silent_target_is_live_again_when_heard(self) -> None:
+    def test_a_heartbeat_makes_a_silent_target_live_again(self) -> None:
         self.register()
         self.registry.apply(SilenceTargets(targets=("t1", "unknown")))
         self.assertEqual(self.standing(), "silent")
         self.register(sequence=2)
         self.assertEqual(self.standing(), "live")
 
-    def test_a_leaving_target_does_not_turn_silent(self) -> None:
+    def test_a_draining_target_does_not_turn_silent(self) -> None:
         self.register(standing="leaving")
         self.registry.apply(SilenceTargets(targets=("t1",)))
         self.assertEqual(self.standing(), "leaving")
 
-    def test_changes_take_a_reader_to_the_same_records(self) -> None:
+    def test_changes_lead_to_the_same_records(self) -> None:
         self.register()
         self.register(target="t2", address="10.0.0.2:80")
         seen = self.registry.changes_after(0)
@@ -134,19 +134,19 @@
         self.assertEqual([record.target for record in later.records], ["t3"])
         self.assertEqual(later.gone, ("t1",))
 
-    def test_a_reader_from_another_history_gets_everything(self) -> None:
+    def test_a_reader_with_an_unknown_revision_gets_all_records(self) -> None:
         self.register()
         self.assertTrue(self.registry.changes_after(99).is_whole)
 
-    def test_forgotten_departures_make_changes_whole(self) -> None:
-        for number in range(GONE_REMEMBERED + 2):
+    def test_changes_are_complete_when_removals_are_forgotten(self) -> None:
+        for number in range(MAX_REMOVED + 2):
             self.registry.apply(RemoveTarget(target=f"gone-{number}"))
         copy = TargetRegistry(
             decode_bytes(encode_bytes(self.registry.snapshot(), TargetsSnapshot), TargetsSnapshot)
         )
         for registry in (self.registry, copy):
             self.assertTrue(registry.changes_after(1).is_whole)
-            self.assertFalse(registry.changes_after(GONE_REMEMBERED).is_whole)
+            self.assertFalse(registry.changes_after(MAX_REMOVED).is_whole)
 
     def test_a_snapshot_holds_everything(self) -> None:
         self.register()
@@ -154,42 +154,42 @@
         copy = TargetRegistry(self.registry.snapshot())
         self.assertEqual(copy.snapshot(), self.registry.snapshot())
 
-    def test_a_newer_start_replaces_the_older_one_whatever_its_count(self) -> None:
+    def test_a_newer_incarnation_replaces_the_older_one_whatever_its_sequence(self) -> None:
         self.register(start=100, sequence=40, standing="leaving")
         self.assertTrue(self.register(start=200, sequence=1))
         self.assertEqual(self.standing(), "live")
         self.assertEqual(self.registry.changes_after(1).records[0].start, 200)
 
-    def test_late_word_of_an_older_start_changes_nothing(self) -> None:
+    def test_delayed_heartbeats_of_an_older_incarnation_change_nothing(self) -> None:
         self.register(start=200)
         for changes in ({"standing": "leaving"}, {"address": "10.0.0.9:80"}, {}):
             self.assertFalse(self.register(start=100, sequence=99, **changes))
         self.registry.apply(RemoveTarget(target="t1", start=100))
         self.assertEqual(self.standing(), "live")
 
-    def test_a_target_that_left_is_back_once_it_starts_again(self) -> None:
+    def test_a_removed_target_is_registered_when_it_starts_again(self) -> None:
         self.register(start=100)
         self.registry.apply(RemoveTarget(target="t1"))
         self.assertFalse(self.register(start=100, sequence=9))
         self.assertFalse(self.register(start=50, sequence=9))
         self.assertTrue(self.register(start=200))
 
-    def test_a_departure_before_any_heartbeat_holds_for_the_start_that_is_heard_next(self) -> None:
+    def test_a_removal_before_any_heartbeat_applies_to_the_incarnation_reported_next(self) -> None:
         self.registry.apply(RemoveTarget(target="t1"))
         self.assertFalse(self.register(start=100))
         self.assertFalse(self.register(start=100, sequence=2))
         self.assertTrue(self.register(start=200))
 
-    def test_late_word_of_an_older_target_does_not_take_the_address_of_a_newer_one(self) -> None:
+    def test_delayed_heartbeats_of_an_older_target_do_not_replace_a_newer_one(self) -> None:
         self.register(target="t2", start=200)
         for sequence in range(1, 6):
             self.assertFalse(self.register(start=100, sequence=sequence))
         self.assertEqual([record.target for record in self.registry.records()], ["t2"])
 
 
-BEATS = st.builds(
-    lambda start, sequence, leaves: replace(
-        RECORD, start=start, sequence=sequence, standing="leaving" if leaves else "live"
+HEARTBEATS = st.builds(
+    lambda start, sequence, is_leaving: replace(
+        RECORD, start=start, sequence=sequence, standing="leaving" if is_leaving else "live"
     ),
     st.sampled_from((100, 200, 300)),
     st.integers(min_value=1, max_value=9),
@@ -197,23 +197,23 @@
 )
 
 
-class StartsTest(unittest.TestCase):
+class IncarnationsTest(unittest.TestCase):
     @settings(deadline=None, suppress_health_check=[HealthCheck.too_slow])
-    @given(st.lists(BEATS, min_size=1, max_size=30), st.integers(min_value=0, max_value=30))
-    def test_any_interleaving_ends_in_the_newest_start(
-        self, beats: list[TargetRecord], cut: int
+    @given(st.lists(HEARTBEATS, min_size=1, max_size=30), st.integers(min_value=0, max_value=30))
+    def test_any_interleaving_leads_to_the_newest_incarnation(
+        self, heartbeats: list[TargetRecord], restored_at: int
     ) -> None:
         registry = TargetRegistry()
-        for number, beat in enumerate(beats):
-            if number == cut:
+        for number, heartbeat in enumerate(heartbeats):
+            if number == restored_at:
                 registry = TargetRegistry(registry.snapshot())
-            registry.apply(RegisterTarget(record=beat))
-        last = max(beat.start for beat in beats)
+            registry.apply(RegisterTarget(record=heartbeat))
+        last = max(heartbeat.start for heartbeat in heartbeats)
         record = registry.find("t1")
         assert record is not None
         self.assertEqual(record.start, last)
-        said = [beat for beat in beats if beat.start == last]
-        self.assertEqual(record.sequence, max(beat.sequence for beat in said))
+        reported = [heartbeat for heartbeat in heartbeats if heartbeat.start == last]
+        self.assertEqual(record.sequence, max(heartbeat.sequence for heartbeat in reported))
 
 
 if __name__ == "__main__":
