--- a/packages/damsonlane/src/damsonlane/routing/__init__.py
+++ b/packages/damsonlane/src/damsonlane/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Routing: which target of a service gets a request."""
+"""Routing: the choice of a target for a request."""
 
 from damsonlane.routing._partition import Place, PromptSides
 from damsonlane.routing._policies import (
--- a/packages/damsonlane/src/damsonlane/routing/_partition.py
+++ b/packages/damsonlane/src/damsonlane/routing/_partition.py
@@ -1,31 +1,30 @@
-"""Two sides of an engine service: one for long prompts, one for the rest."""
+"""Partition of the engines of a service: some for long prompts, the others for the rest."""
 
 import hashlib
 from collections.abc import Sequence
 from dataclasses import dataclass
 from typing import Final
 
-#: Tokens from which on a prompt counts as long.  Engines read about as many between
-#: two tokens of the streams beside it; reading more holds those streams up several
-#: times, for longer than the pauses that callers bear.
+#: Tokens at and above which a prompt counts as long.  An engine processes about as many prompt
+#: tokens between two output tokens of the other streams; a longer prompt stalls those streams
+#: several times, for longer than callers accept.
 LONG_PROMPT_TOKENS: Final = 2_000
-#: Share of the tokens that is reckoned to be in long prompts before any was seen.
+#: Share of the tokens that is assumed to be in long prompts before any was recorded.
 INITIAL_LONG_SHARE: Final = 0.85
-#: Tokens that this first guess weighs, as if they had been seen: a handful of requests,
-#: so that a service whose prompts are all of one kind is soon known as such.
+#: Weight of this initial assumption, in tokens: that of a few requests, so that a service whose
+#: prompts are all long or all short is soon recognised.
 INITIAL_TOKENS: Final = 10_000.0
-#: Share of the tokens below which a kind of prompt gets no engines of its own.
-LEAST_SHARE: Final = 0.03
-#: Tokens after which what was seen counts half: about ten seconds of one entry of the
-#: first users at high load, longer than a wave of one kind of request.
-MEMORY_TOKENS: Final = 200_000.0
+#: Share of the tokens below which a class of prompts gets no engines of its own.
+MIN_SHARE: Final = 0.03
+#: Tokens after which a recorded prompt counts half: longer than a burst of one class of requests.
+HALF_LIFE_TOKENS: Final = 200_000.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class Place:
-    """An engine, as far as its side depends on it."""
+    """An engine and its data centre."""
 
-    #: Its name.
+    #: Name of the engine.
     target: str
     #: Its data centre.
     data_centre: str
@@ -34,56 +33,68 @@
 
 
 class PromptSides:
-    """Divides the engines of one service by the tokens that long prompts bring.
+    """Partitions the engines of one service by the share of tokens in long prompts.
 
-    All entries order the engines alike, and see about the same traffic, so they
-    differ in the side of one engine at most.
+    All entries use the same order of engines and have about the same traffic, so their partitions
+    differ in one engine at most.
     """
 
     def __init__(self) -> None:
         self._long = INITIAL_LONG_SHARE * INITIAL_TOKENS
         self._all = INITIAL_TOKENS
-        #: The engines that were asked for last, and their order.
-        self._places: Sequence[Place] = ()
-        self._ordered: Sequence[Place] = ()
+        #: The engines of the last call, and their order.
+        self._engines: Sequence[Place] = ()
+        self._interleaved: Sequence[Place] = ()
 
     def note(self, tokens: int) -> None:
-        """Note the prompt of a request."""
-        fading = 0.5 ** (tokens / MEMORY_TOKENS)
-        self._all = self._all * fading + tokens
-        self._long = self._long * fading + (tokens if _is_long(tokens) else 0)
+        """Record the prompt of a request.
+
+        Args:
+            tokens: length of the prompt.
+        """
+        decay = 0.5 ** (tokens / HALF_LIFE_TOKENS)
+        self._all = self._all * decay + tokens
+        self._long = self._long * decay + (tokens if _is_long(tokens) else 0)
 
     def find_side(self, tokens: int, places: tuple[Place, ...]) -> frozenset[str]:
-        """Return the engines for a prompt of a length; all of them if nothing divides them."""
+        """Return the engines for a prompt.
+
+        Args:
+            tokens: length of the prompt; 0 if unknown.
+            places: all engines of the service.
+
+        Returns:
+            Names of the engines; all of them if the length is unknown or other prompts are rare.
+        """
         long_share = self._long / self._all
         other_share = 1.0 - long_share if _is_long(tokens) else long_share
-        if len(places) < 2 or tokens <= 0 or other_share < LEAST_SHARE:
+        if len(places) < 2 or tokens <= 0 or other_share < MIN_SHARE:
             return frozenset(place.target for place in places)
         count = round(long_share * len(places))
         count = min(len(places) - 1, max(1, count))
-        if places != self._places:
-            self._places, self._ordered = places, _order(places)
-        ordered = self._ordered
-        side = ordered[:count] if _is_long(tokens) else ordered[count:]
-        return frozenset(place.target for place in side)
+        if places != self._engines:
+            self._engines, self._interleaved = places, _interleave(places)
+        interleaved = self._interleaved
+        chosen = interleaved[:count] if _is_long(tokens) else interleaved[count:]
+        return frozenset(place.target for place in chosen)
 
 
 def _is_long(tokens: int) -> bool:
-    """Tell whether a prompt counts as long."""
+    """Return whether a prompt counts as long."""
     return tokens >= LONG_PROMPT_TOKENS
 
 
-def _order(places: Sequence[Place]) -> list[Place]:
-    """Return engines in an order that takes the data centres in turn."""
+def _interleave(places: Sequence[Place]) -> list[Place]:
+    """Return the engines in an order that alternates between data centres."""
     by_centre: dict[str, list[Place]] = {}
     for place in sorted(places, key=lambda place: _hash(place.target)):
         by_centre.setdefault(place.data_centre, []).append(place)
-    turns = {
-        place.target: (turn, _hash(place.data_centre))
-        for centre in by_centre.values()
-        for turn, place in enumerate(centre)
+    positions = {
+        place.target: (position, _hash(place.data_centre))
+        for engines in by_centre.values()
+        for position, place in enumerate(engines)
     }
-    return sorted(places, key=lambda place: turns[place.target])
+    return sorted(places, key=lambda place: positions[place.target])
 
 
 def _hash(text: str) -> bytes:
--- a/packages/damsonlane/src/damsonlane/routing/_policies.py
+++ b/packages/damsonlane/src/damsonlane/routing/_policies.py
@@ -1,4 +1,4 @@
-"""Routing policies, in a registry that a decorator fills."""
+"""Routing policies and the registry of them."""
 
 import hashlib
 import math
@@ -9,13 +9,13 @@
 
 from damsonlane.routing._views import Origin, TargetView
 
-#: Cost of leaving the data centre, as a share of one request's time at a target.
+#: Cost of a target in another data centre, as a share of one request's time at a target.
 DISTANCE_SHARE: Final = 0.25
-#: Slowness from which on a target counts as slow; below it differences are noise.
-SLOW: Final = 2.0
-#: Characters of a prompt that decide affinity.
+#: Slowness at and above which a target counts as slow; smaller differences are noise.
+SLOW_THRESHOLD: Final = 2.0
+#: Length of the prompt prefix that determines affinity, in characters.
 AFFINITY_LENGTH: Final = 256
-#: Load over the mean at which affinity gives way.
+#: Ratio of a target's load to the mean load above which affinity is ignored.
 AFFINITY_BOUND: Final = 1.25
 
 
@@ -46,7 +46,7 @@
 @final
 @routing_policy("random")
 class RandomChoice(RoutingPolicy):
-    """Any target, evenly."""
+    """Any target, with equal probability."""
 
     def choose(
         self, views: Sequence[TargetView], origin: Origin, randomness: random.Random
@@ -86,7 +86,7 @@
 @final
 @routing_policy("predicted")
 class Predicted(RoutingPolicy):
-    """The target whose predicted time is shortest, reports and distance considered."""
+    """The target with the shortest predicted time, by load reports and distance."""
 
     def choose(
         self, views: Sequence[TargetView], origin: Origin, randomness: random.Random
@@ -98,19 +98,19 @@
 @final
 @routing_policy("paced")
 class Paced(RoutingPolicy):
-    """The target with the fewest requests of this entry, counted by its pace if it is slow."""
+    """The target with the fewest requests of this entry, weighted by slowness if it is slow."""
 
     def choose(
         self, views: Sequence[TargetView], origin: Origin, randomness: random.Random
     ) -> TargetView:
-        """Return the target with the least work ahead, ties broken at random."""
+        """Return the target with the least estimated work, ties broken at random."""
 
-        def ahead(view: TargetView) -> float:
-            pace = view.slowness if view.slowness >= SLOW else 1.0
+        def estimate_work(view: TargetView) -> float:
+            pace = view.slowness if view.slowness >= SLOW_THRESHOLD else 1.0
             distance = 0.0 if view.data_centre == origin.data_centre else DISTANCE_SHARE
             return (view.in_flight + 1) * pace + distance
 
-        return min(views, key=lambda view: (ahead(view), randomness.random()))
+        return min(views, key=lambda view: (estimate_work(view), randomness.random()))
 
 
 @final
@@ -121,13 +121,13 @@
     def choose(
         self, views: Sequence[TargetView], origin: Origin, randomness: random.Random
     ) -> TargetView:
-        """Return the first target by rendezvous hashing whose load is within the bound."""
+        """Return the first target by rendezvous hashing whose load and slowness are acceptable."""
         if not origin.affinity:
             return POLICIES["paced"].choose(views, origin, randomness)
         prefix = origin.affinity[:AFFINITY_LENGTH]
-        ranked = sorted(views, key=lambda view: rank_target(view.name, prefix))
+        by_rank = sorted(views, key=lambda view: rank_target(view.name, prefix))
         mean = sum(view.load() + 1 for view in views) / len(views)
-        for view in ranked:
+        for view in by_rank:
             if view.load() + 1 <= math.ceil(AFFINITY_BOUND * mean) and view.slowness < 2.0:
                 return view
         return POLICIES["paced"].choose(views, origin, randomness)
@@ -141,5 +141,5 @@
 
 
 def rank_target(name: str, prefix: str) -> bytes:
-    """Return the rank of a target for a prefix by rendezvous hashing; the least owns it."""
+    """Return the rendezvous hash of a target and a prefix; the target with the lowest owns it."""
     return hashlib.blake2b(f"{name}\0{prefix}".encode(), digest_size=8).digest()
--- a/packages/damsonlane/src/damsonlane/routing/_table.py
+++ b/packages/damsonlane/src/damsonlane/routing/_table.py
@@ -1,4 +1,4 @@
-"""What an entry knows of the targets of one service."""
+"""Load and health of the targets of one service, as one entry knows them."""
 
 import random
 from collections.abc import Collection, Mapping, Sequence
@@ -8,52 +8,52 @@
 from damsonlane.routing._policies import POLICIES
 from damsonlane.routing._views import Origin, TargetView
 
-#: Failures in a row after which a target is ejected.
+#: Consecutive failures after which a target is ejected.
 FAILURES_TO_EJECT: Final = 3
-#: Seconds of the first ejection; each further one doubles it.
-FIRST_EJECTION: Final = 1.0
+#: Duration of the first ejection, in seconds; it doubles with each further one.
+INITIAL_EJECTION_SECONDS: Final = 1.0
 #: Longest ejection, in seconds.
-LONGEST_EJECTION: Final = 30.0
+MAX_EJECTION_SECONDS: Final = 30.0
 #: Largest share of a service's targets that may be ejected at once.
-EJECTED_SHARE: Final = 0.5
-#: Weight of a new sample in a target's slowness.
+MAX_EJECTED_SHARE: Final = 0.5
+#: Weight of a new sample in the moving average of a target's slowness.
 SLOWNESS_WEIGHT: Final = 0.2
-#: Seconds in which an idle target's slowness goes half way back to normal.
+#: Half-life of an idle target's slowness, in seconds; it decays to normal.
 SLOWNESS_HALF_LIFE: Final = 10.0
-#: Seconds in which a report of other entries' requests loses half of its worth.
+#: Half-life of the reported number of other entries' requests, in seconds.
 REPORT_HALF_LIFE: Final = 0.5
 #: Bounds of one slowness sample.
 SLOWNESS_RANGE: Final = (0.1, 20.0)
 
-#: How an attempt ended as far as the target's health is concerned.
+#: What the outcome of an attempt says about the target's health.
 Health = Literal["good", "bad", "neutral"]
 
 
 @dataclass(frozen=True, kw_only=True)
 class Standing:
-    """Where a target stands, as settings say."""
+    """Address, data centre and incarnation of a target."""
 
     #: Address as an IP number and a port.
     address: str
     #: Its data centre.
     data_centre: str
-    #: Its start; what was learnt of another start says nothing of this one.
+    #: Its start; records about another incarnation do not apply to this one.
     start: int = 0
 
 
 @dataclass(frozen=True, kw_only=True)
 class LoadReport:
-    """What a target said of its load."""
+    """The load that a target reported."""
 
-    #: Requests it holds, from all entries, waiting ones included.
+    #: Requests there from all entries, including queued ones.
     held: int
-    #: Requests it runs at once.
+    #: Requests that it runs concurrently.
     slots: int
 
 
 @dataclass(frozen=True, kw_only=True)
 class Choice:
-    """A target that was chosen."""
+    """A chosen target."""
 
     #: Its name.
     target: str
@@ -63,8 +63,8 @@
     start: int = 0
 
 
-class _Record:
-    """Mutable knowledge of one target."""
+class _TargetState:
+    """Load and health of one target."""
 
     def __init__(self, standing: Standing) -> None:
         self.standing = standing
@@ -79,42 +79,42 @@
         self.ejected_until = 0.0
 
     def view(self, name: str, now: float) -> TargetView:
-        slowness_fading = _fade(now - self.measured_at, SLOWNESS_HALF_LIFE)
+        decay = _decay(now - self.measured_at, SLOWNESS_HALF_LIFE)
         return TargetView(
             name=name,
             data_centre=self.standing.data_centre,
             in_flight=self.in_flight,
-            others=self.others * _fade(now - self.reported_at, REPORT_HALF_LIFE),
+            others=self.others * _decay(now - self.reported_at, REPORT_HALF_LIFE),
             slots=self.slots,
-            slowness=self.slowness**slowness_fading,
+            slowness=self.slowness**decay,
         )
 
     def is_ejected(self, now: float) -> bool:
-        """Tell whether the target is out: until its time is up, then while its trial runs."""
+        """Return whether the target is ejected: for a time, then while a trial request runs."""
         if self.ejections == 0:
             return False
         return now < self.ejected_until or self.in_flight > 0
 
 
 class TargetBook:
-    """Targets of one service, with their load and health at one entry."""
+    """Table of the targets of one service, with their load and health at one entry."""
 
     def __init__(self) -> None:
-        self._records: dict[str, _Record] = {}
+        self._records: dict[str, _TargetState] = {}
 
     def update(self, standings: Mapping[str, Standing]) -> None:
-        """Take over the targets that settings name; knowledge of the others is dropped."""
+        """Replace the set of targets; the state of those that are not in it is dropped."""
         for name, standing in standings.items():
             known = self._records.get(name)
-            if known is None or not _is_same(known.standing, standing):
-                self._records[name] = _Record(standing)
+            if known is None or not _is_same_incarnation(known.standing, standing):
+                self._records[name] = _TargetState(standing)
             else:
                 known.standing = standing
         for gone in set(self._records) - set(standings):
             del self._records[gone]
 
     def standings(self) -> Mapping[str, Standing]:
-        """Return where the targets stand, by name."""
+        """Return address, data centre and incarnation of all targets, by name."""
         return {name: record.standing for name, record in self._records.items()}
 
     def choose(
@@ -134,32 +134,39 @@
         Args:
             policy: name of the routing policy.
             origin: where the choice is made.
-            prefer: targets that are taken where one of them is as good as the
-                others; empty for all.
-            avoid: targets that failed this request already; used only if
-                nothing else is left.
-            silent: targets that were not heard for long; used only if nothing
-                else but those of ``avoid`` is left.
-            leaving: targets that get nothing new, whatever is left.
+            prefer: preferred targets, used unless they are all excluded by the other
+                arguments; empty for no preference.
+            avoid: targets that failed this request already; used only if there are no
+                others.
+            silent: targets without recent heartbeats; used only if there are no others
+                but those of ``avoid``.
+            leaving: draining targets, which are never chosen.
             now: the clock, in seconds.
             randomness: source of tie breaks.
 
         Returns:
-            The choice, or None when the service has no target that may be used.
+            The choice, or None when the service has no usable target.
         """
-        usable = self._usable(now, leaving)
-        preferred = _leave_out(usable, {*avoid, *silent}) or _leave_out(usable, avoid) or usable
+        usable = self._list_usable(now, leaving)
+        preferred = _exclude(usable, {*avoid, *silent}) or _exclude(usable, avoid) or usable
         if not preferred:
             return None
-        among = [name for name in preferred if name in prefer] or preferred
-        views = [self._records[name].view(name, now) for name in among]
+        candidates = [name for name in preferred if name in prefer] or preferred
+        views = [self._records[name].view(name, now) for name in candidates]
         chosen = POLICIES[policy].choose(views, origin, randomness)
         record = self._records[chosen.name]
         record.in_flight += 1
         return _make_choice(chosen.name, record)
 
     def take(self, target: str) -> Choice | None:
-        """Take a target that was chosen elsewhere, or return None when it is not known."""
+        """Count a request as in flight at a target that was chosen elsewhere.
+
+        Args:
+            target: its name.
+
+        Returns:
+            The choice, or None when the target is not in the table.
+        """
         record = self._records.get(target)
         if record is None:
             return None
@@ -167,7 +174,7 @@
         return _make_choice(target, record)
 
     def list_ejected(self, now: float) -> set[str]:
-        """Return the targets that are out after failures."""
+        """Return the names of the ejected targets."""
         return {name for name, record in self._records.items() if record.is_ejected(now)}
 
     def finish(
@@ -180,74 +187,78 @@
         report: LoadReport | None = None,
         start: int | None = None,
     ) -> None:
-        """Count a request as ended.
+        """Record that a request is no longer in flight.
 
         Args:
-            target: the target it ran at.
-            health: what the ending says of the target.
+            target: name of the target that it was sent to.
+            health: what the outcome says about the target's health.
             now: the clock, in seconds.
-            pace: its time as a multiple of the usual time for such work.
-            report: the load that the target reported with its answer.
-            start: the start of the target that it ran at, if it matters.
+            pace: its duration as a multiple of the usual duration of such work.
+            report: the load that the target reported in its answer.
+            start: the incarnation that it was sent to; None to skip the comparison with the
+                current one.
         """
         record = self._records.get(target)
         if record is None or start not in (None, record.standing.start):
             return
         record.in_flight = max(0, record.in_flight - 1)
         if report is not None:
-            # The report counts the request that just ended, and those still in flight here.
+            # The report includes the request that just completed and those in flight from here.
             record.others = float(max(0, report.held - record.in_flight - 1))
             record.reported_at = now
             record.slots = max(1, report.slots)
         if pace is not None:
-            self._measure(record, pace, now)
+            self._record_pace(record, pace, now)
         if health == "bad":
-            self._count_failure(record, now)
+            self._record_failure(record, now)
         elif health == "good":
             record.failures = 0
             record.ejections = 0
 
-    def _usable(self, now: float, leaving: Collection[str]) -> list[str]:
+    def _list_usable(self, now: float, leaving: Collection[str]) -> list[str]:
         present = [name for name in self._records if name not in leaving]
         healthy = [name for name in present if not self._records[name].is_ejected(now)]
-        least = len(present) - int(len(present) * EJECTED_SHARE)
-        if len(healthy) >= least:
+        min_usable = len(present) - int(len(present) * MAX_EJECTED_SHARE)
+        if len(healthy) >= min_usable:
             return healthy
-        # Too many are out, so the fault is probably not theirs: take back the soonest due.
+        # With too many ejected, the cause is probably elsewhere: use those ejected for the
+        # shortest remaining time.
         ejected = sorted(
             (name for name in present if name not in healthy),
             key=lambda name: self._records[name].ejected_until,
         )
-        return healthy + ejected[: least - len(healthy)]
+        return healthy + ejected[: min_usable - len(healthy)]
 
-    def _count_failure(self, record: _Record, now: float) -> None:
+    def _record_failure(self, record: _TargetState, now: float) -> None:
         record.failures += 1
         if record.failures >= FAILURES_TO_EJECT or record.ejections > 0:
             record.ejections += 1
-            delay = min(LONGEST_EJECTION, FIRST_EJECTION * 2 ** (record.ejections - 1))
+            delay = min(
+                MAX_EJECTION_SECONDS, INITIAL_EJECTION_SECONDS * 2 ** (record.ejections - 1)
+            )
             record.ejected_until = now + delay
 
-    def _measure(self, record: _Record, pace: float, now: float) -> None:
+    def _record_pace(self, record: _TargetState, pace: float, now: float) -> None:
         low, high = SLOWNESS_RANGE
         sample = min(high, max(low, pace))
         record.slowness += SLOWNESS_WEIGHT * (sample - record.slowness)
         record.measured_at = now
 
 
-def _make_choice(name: str, record: _Record) -> Choice:
+def _make_choice(name: str, record: _TargetState) -> Choice:
     standing = record.standing
     return Choice(target=name, address=standing.address, start=standing.start)
 
 
-def _is_same(known: Standing, told: Standing) -> bool:
-    """Tell whether two standings are of the same start of a target."""
-    return (known.address, known.start) == (told.address, told.start)
+def _is_same_incarnation(known: Standing, update: Standing) -> bool:
+    """Return whether two records are about the same incarnation of a target."""
+    return (known.address, known.start) == (update.address, update.start)
 
 
-def _leave_out(names: Sequence[str], unwanted: Collection[str]) -> list[str]:
-    return [name for name in names if name not in unwanted]
+def _exclude(names: Sequence[str], excluded: Collection[str]) -> list[str]:
+    return [name for name in names if name not in excluded]
 
 
-def _fade(age: float, half_life: float) -> float:
-    """Return what is left of an old observation, as a share."""
+def _decay(age: float, half_life: float) -> float:
+    """Return the remaining weight of an old observation, from 1 to 0."""
     return float(0.5 ** (max(0.0, age) / half_life))
--- a/packages/damsonlane/src/damsonlane/routing/_views.py
+++ b/packages/damsonlane/src/damsonlane/routing/_views.py
@@ -1,33 +1,33 @@
-"""What a routing policy sees."""
+"""The input of routing policies."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, kw_only=True)
 class TargetView:
-    """One target as an entry sees it at the moment of a choice."""
+    """The state of one target at one entry at the time of a choice."""
 
     #: Name of the target.
     name: str
-    #: Data centre in which it stands.
+    #: Its data centre.
     data_centre: str
     #: Requests that this entry has in flight there.
     in_flight: int
-    #: Requests of other entries held there, as far as its last report tells.
+    #: Requests of other entries there, estimated from its last load report.
     others: float
-    #: Requests that it runs at once, from its report; 1 when unknown.
+    #: Requests that it runs concurrently, from its last load report; 1 when unknown.
     slots: int
-    #: How its times compare with those of its fellows; 1 is the usual pace.
+    #: Its response times as a multiple of the usual ones; 1 is normal.
     slowness: float
 
     def load(self) -> float:
-        """Return the requests it probably holds."""
+        """Return the estimated number of requests there."""
         return self.in_flight + self.others
 
 
 @dataclass(frozen=True, kw_only=True)
 class Origin:
-    """Where a choice is made, and for what."""
+    """Where a choice is made, and for which prompt."""
 
     #: Data centre of the entry.
     data_centre: str
--- a/packages/damsonlane/src/damsonlane/routing/tests/test_partition.py
+++ b/packages/damsonlane/src/damsonlane/routing/tests/test_partition.py
@@ -1,4 +1,4 @@
-"""Engines divided by the length of prompts."""
+"""Partition of engines by the length of prompts."""
 
 import unittest
 from collections import Counter
@@ -8,61 +8,61 @@
 
 _SHORT = LONG_PROMPT_TOKENS - 1
 _LONG = LONG_PROMPT_TOKENS
-_CENTRES = ("gulberg", "johar", "dha")
-_PLACES = tuple(
-    Place(target=f"engine-{number}", data_centre=_CENTRES[number % 3]) for number in range(6)
+_DATA_CENTRES = ("gulberg", "johar", "dha")
+_ENGINES = tuple(
+    Place(target=f"engine-{number}", data_centre=_DATA_CENTRES[number % 3]) for number in range(6)
 )
 
 
-class PromptSidesTest(unittest.TestCase):
+class PromptPartitionTest(unittest.TestCase):
     def test_long_and_short_prompts_share_no_engine(self) -> None:
-        sides = PromptSides()
-        long, short = sides.find_side(_LONG, _PLACES), sides.find_side(_SHORT, _PLACES)
+        partition = PromptSides()
+        long, short = partition.find_side(_LONG, _ENGINES), partition.find_side(_SHORT, _ENGINES)
         self.assertFalse(long & short)
-        self.assertEqual(long | short, {place.target for place in _PLACES})
+        self.assertEqual(long | short, {engine.target for engine in _ENGINES})
         self.assertEqual((len(long), len(short)), (5, 1))
 
-    def test_a_kind_that_hardly_comes_costs_the_other_no_engine(self) -> None:
+    def test_a_rare_class_of_prompts_takes_no_engine_from_the_other(self) -> None:
         cases = (("only long ones", _LONG, _SHORT, 5), ("only short ones", _SHORT, _LONG, 1))
-        for name, usual, rare, long_engines in cases:
+        for name, common, rare, long_engines in cases:
             with self.subTest(name):
-                sides = PromptSides()
+                partition = PromptSides()
                 for _ in range(1_000):
-                    sides.note(usual)
-                self.assertEqual(len(sides.find_side(usual, _PLACES)), 6)
+                    partition.note(common)
+                self.assertEqual(len(partition.find_side(common, _ENGINES)), 6)
                 rare_engines = long_engines if rare == _LONG else 6 - long_engines
-                self.assertEqual(len(sides.find_side(rare, _PLACES)), rare_engines)
+                self.assertEqual(len(partition.find_side(rare, _ENGINES)), rare_engines)
 
-    def test_a_few_requests_outweigh_the_first_guess(self) -> None:
-        sides = PromptSides()
+    def test_a_few_requests_outweigh_the_initial_assumption(self) -> None:
+        partition = PromptSides()
         for _ in range(200):
-            sides.note(_SHORT)
-        self.assertEqual(len(sides.find_side(_SHORT, _PLACES)), 6)
+            partition.note(_SHORT)
+        self.assertEqual(len(partition.find_side(_SHORT, _ENGINES)), 6)
 
-    def test_a_prompt_of_unknown_length_goes_anywhere(self) -> None:
-        self.assertEqual(len(PromptSides().find_side(0, _PLACES)), 6)
+    def test_a_prompt_of_unknown_length_may_use_all_engines(self) -> None:
+        self.assertEqual(len(PromptSides().find_side(0, _ENGINES)), 6)
 
-    def test_a_side_takes_the_data_centres_in_turn(self) -> None:
-        side = PromptSides().find_side(_LONG, _PLACES)
-        counts = Counter(place.data_centre for place in _PLACES if place.target in side)
+    def test_a_part_alternates_between_data_centres(self) -> None:
+        engines = PromptSides().find_side(_LONG, _ENGINES)
+        counts = Counter(engine.data_centre for engine in _ENGINES if engine.target in engines)
         self.assertEqual(sorted(counts.values()), [1, 2, 2])
 
     def test_the_order_of_the_list_does_not_matter(self) -> None:
-        sides = PromptSides()
+        partition = PromptSides()
         for tokens in (_SHORT, _LONG):
             self.assertEqual(
-                sides.find_side(tokens, _PLACES), sides.find_side(tokens, _PLACES[::-1])
+                partition.find_side(tokens, _ENGINES), partition.find_side(tokens, _ENGINES[::-1])
             )
 
-    def test_one_engine_takes_all(self) -> None:
+    def test_a_single_engine_serves_all_prompts(self) -> None:
         cases: tuple[tuple[str, tuple[Place, ...], set[str]], ...] = (
-            ("one", _PLACES[:1], {"engine-0"}),
+            ("one", _ENGINES[:1], {"engine-0"}),
             ("none", (), set()),
         )
-        for name, places, expected in cases:
+        for name, engines, expected in cases:
             with self.subTest(name):
                 for tokens in (_SHORT, _LONG):
-                    self.assertEqual(PromptSides().find_side(tokens, places), expected)
+                    self.assertEqual(PromptSides().find_side(tokens, engines), expected)
 
 
 if __name__ == "__main__":
