--- a/packages/damsonlane/src/damsonlane/routes/__init__.py
+++ b/packages/damsonlane/src/damsonlane/routes/__init__.py
@@ -1,4 +1,4 @@
-"""Routes by host and path prefix, as one whole document with a version."""
+"""Routes by host and path prefix, in one versioned routing document."""
 
 from damsonlane.routes._checks import check_document
 from damsonlane.routes._document import (
--- a/packages/damsonlane/src/damsonlane/routes/_checks.py
+++ b/packages/damsonlane/src/damsonlane/routes/_checks.py
@@ -1,4 +1,4 @@
-"""Checks of a routing document; all findings are returned together."""
+"""Checks of a routing document, which return all findings together."""
 
 from collections.abc import Iterator
 
@@ -7,51 +7,55 @@
 
 
 def check_document(document: RoutingDocument) -> tuple[Finding, ...]:
-    """Return everything that is wrong with a document, each with its path."""
+    """Return all faults of a document, each with its path."""
     return (*_check_routes(document), *_check_organisations(document))
 
 
 def _check_routes(document: RoutingDocument) -> Iterator[Finding]:
     known = {service.name for service in document.services}
-    places: dict[tuple[str, str], int] = {}
+    indexes: dict[tuple[str, str], int] = {}
     for index, route in enumerate(document.routes):
         path = f"/routes/{index}"
         yield from _check_route(route, path, known)
-        first = places.setdefault((route.host, route.prefix), index)
+        first = indexes.setdefault((route.host, route.prefix), index)
         if first != index:
-            yield _find(path, f"has the host and prefix of route {first}; change one of them")
+            yield _make_finding(
+                path, f"has the host and prefix of route {first}; change one of them"
+            )
 
 
 def _check_route(route: Route, path: str, known: set[str]) -> Iterator[Finding]:
-    for name in (*(share.service for share in route.services), *_stage_services(route)):
+    for name in (*(weighted.service for weighted in route.services), *_list_stage_services(route)):
         if name not in known:
-            yield _find(path, f"names the service '{name}', which the document does not hold")
-    weights = [share.weight for share in route.services]
+            yield _make_finding(
+                path, f"names the service '{name}', which the document does not hold"
+            )
+    weights = [weighted.weight for weighted in route.services]
     if not weights or min(weights) < 0 or sum(weights) <= 0:
-        yield _find(path, "needs weights of 0 or more whose sum is above 0")
+        yield _make_finding(path, "needs weights of 0 or more whose sum is above 0")
     if route.timeout_seconds <= 0:
-        yield _find(path, "needs a time-out above 0")
+        yield _make_finding(path, "needs a time-out above 0")
     if not (route.prefix.startswith("/") and route.prefix.endswith("/")):
-        yield _find(path, "needs a prefix that begins and ends with a slash")
+        yield _make_finding(path, "needs a prefix that begins and ends with a slash")
     for number, stage in enumerate(route.stages):
-        if any(not 0 <= earlier < number for earlier in stage.after):
-            yield _find(f"{path}/stages/{number}", "may only come after earlier stages")
+        if any(not 0 <= dependency < number for dependency in stage.after):
+            yield _make_finding(f"{path}/stages/{number}", "may only come after earlier stages")
 
 
-def _stage_services(route: Route) -> Iterator[str]:
+def _list_stage_services(route: Route) -> Iterator[str]:
     return (stage.service for stage in route.stages)
 
 
 def _check_organisations(document: RoutingDocument) -> Iterator[Finding]:
-    holders: dict[str, str] = {}
+    owners: dict[str, str] = {}
     for index, organisation in enumerate(document.organisations):
         for key in organisation.keys:
-            first = holders.setdefault(key, organisation.name)
+            first = owners.setdefault(key, organisation.name)
             if first != organisation.name:
-                yield _find(
+                yield _make_finding(
                     f"/organisations/{index}", f"shares a key with '{first}'; give it another"
                 )
 
 
-def _find(path: str, message: str) -> Finding:
+def _make_finding(path: str, message: str) -> Finding:
     return Finding(place=Place(path=path), message=message)
--- a/packages/damsonlane/src/damsonlane/routes/_document.py
+++ b/packages/damsonlane/src/damsonlane/routes/_document.py
@@ -1,10 +1,10 @@
-"""The routing document: routes, services, organisations and limits under one version."""
+"""The routing document: routes, services, organisations and limits with one version."""
 
 from dataclasses import dataclass
 from typing import Literal
 
-#: What may be done again with a request of a route: anything, nothing once it
-#: may have run, or (for event streams) nothing unless the route is resumable.
+#: Whether a request of a route may be retried: always (``safe``), not once it may have run
+#: (``once``), or for event streams only if the route is resumable (``stream``).
 Repeat = Literal["safe", "once", "stream"]
 
 
@@ -32,72 +32,72 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Route:
-    """Where requests of a host and path prefix go, and within which bounds."""
+    """The services and limits of requests with a host and a path prefix."""
 
     #: Name, for logs and metrics.
     name: str
-    #: Host header that it serves, in lower case.
+    #: Host header that it matches, in lower case.
     host: str
-    #: Beginning of the path; starts and ends with a slash.
+    #: Prefix of the path; starts and ends with a slash.
     prefix: str
-    #: What may be done again.
+    #: Whether requests may be retried.
     repeat: Repeat
-    #: Longest time for which a request may be held, in seconds.
+    #: Time-out of a request, in seconds.
     timeout_seconds: float
-    #: Time within which an answer is in aim, in seconds.
+    #: Latency objective of an answer, in seconds.
     aim_seconds: float
-    #: Rank; 0 is the most urgent.
+    #: Priority; 0 is the most urgent.
     priority: int
-    #: Services with their weights; never empty.
+    #: Services with their weights; not empty.
     services: tuple[WeightedService, ...]
     #: Most targets to which one request may be sent.
     most_targets: int = 1
-    #: Stages in order; empty for a plain request.
+    #: Stages in order; empty for requests without stages.
     stages: tuple[Stage, ...] = ()
     #: Whether it may be called without a key.
     is_public: bool = False
-    #: Whether an event stream may be taken up at another target.
+    #: Whether an interrupted event stream may be resumed at another target.
     is_resumable: bool = False
-    #: Longest pause between two events that is still in aim, in seconds; 0 when untold.
+    #: Objective for the pause between two events, in seconds; 0 for none.
     pause_seconds: float = 0.0
 
     def is_repeatable(self) -> bool:
-        """Tell whether a request that may have run may be sent once more."""
+        """Return whether a request that may have run may be retried."""
         return self.repeat == "safe" or (self.repeat == "stream" and self.is_resumable)
 
 
 @dataclass(frozen=True, kw_only=True)
 class EngineTraits:
-    """What a service of model engines can do."""
+    """Properties of the model engines of a service."""
 
-    #: Requests that one engine runs at once.
+    #: Requests that one engine runs concurrently.
     slots: int
-    #: Tokens that its memory holds, running requests and kept prefixes together.
+    #: Capacity of its memory in tokens, for running requests and cached prefixes together.
     cache_tokens: int
     #: Size of one token in its memory, in bytes.
     token_bytes: int = 0
-    #: Speed of its link to other engines, in bytes a second; 0 where engines can't take
-    #: from each other what they keep.
+    #: Bandwidth of its link to other engines, in bytes a second; 0 where engines can't fetch
+    #: cached prefixes from each other.
     link_speed: float = 0.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class PoolTraits:
-    """What the targets of a stage pool can do."""
+    """Properties of the targets of a stage pool."""
 
-    #: Calls that one target works on at once.
+    #: Calls that one target runs concurrently.
     slots: int
-    #: Calls that may wait there.
+    #: Calls that may be queued there.
     queue: int
     #: Most pieces in one call.
     batch: int
-    #: Time that a call takes besides its pieces, in seconds.
+    #: Fixed time of a call in addition to that of its pieces, in seconds.
     call_seconds: float
     #: Approximate time of one piece, in seconds.
     piece_seconds: float
-    #: Room for results at one target, in bytes.
+    #: Result memory of one target, in bytes.
     room_bytes: int
-    #: Time for which a target keeps a result, in seconds.
+    #: Time for which a target stores a result, in seconds.
     keep_seconds: float
 
 
@@ -107,12 +107,13 @@
 
     #: Name of the service.
     name: str
-    #: Connections that one target takes from all boxes together.
+    #: Connections that one target accepts from all boxes together.
     most_connections: int
-    #: Requests a second that one of its targets bears while it is cold; 0 where none turn cold.
+    #: Requests a second that one of its targets can serve while it is warming up; 0 where targets
+    #: need no warm-up.
     cold_rate: float = 0.0
-    #: Seconds for which a target stays cold after it has started, as far as is known before
-    #: it says so.
+    #: Duration of the warm-up of a target after its start, in seconds, assumed until the target
+    #: reports it.
     cold_start_seconds: float = 0.0
     #: Set for model engines.
     engine: EngineTraits | None = None
@@ -122,15 +123,15 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CallerLimits:
-    """What a caller may send, and how long it may take."""
+    """Limits of size and time for callers."""
 
-    #: Largest head of a request, in bytes.
+    #: Largest header section of a request, in bytes.
     header_bytes: int = 16_384
     #: Largest body, in bytes.
     body_bytes: int = 4 * 2**20
-    #: Time within which a head must be there, in seconds.
+    #: Time within which the header section must have arrived, in seconds.
     header_seconds: float = 3.0
-    #: Time for which an idle connection is kept, in seconds.
+    #: Time after which an idle connection is closed, in seconds.
     idle_seconds: float = 15.0
 
 
@@ -140,23 +141,23 @@
 
     #: Its name.
     name: str
-    #: Keys that its callers show.
+    #: Keys that its callers authenticate with.
     keys: tuple[str, ...]
-    #: Rank; 0 is the most urgent, and it comes before a route's priority.
+    #: Priority; 0 is the most urgent.  It is compared before the priority of routes.
     priority: int = 0
 
 
 @dataclass(frozen=True, kw_only=True)
 class RoutingDocument:
-    """Everything by which an entry serves, as one whole."""
+    """The complete configuration by which entries serve requests."""
 
-    #: Its version; the highest one holds.
+    #: Its version; the highest one is in force.
     version: int
     #: All routes.
     routes: tuple[Route, ...] = ()
     #: All services.
     services: tuple[Service, ...] = ()
-    #: Bounds for callers.
+    #: Limits for callers.
     limits: CallerLimits = CallerLimits()
-    #: Customers; without any, keys are not asked for.
+    #: Customers; without any, no route requires a key.
     organisations: tuple[Organisation, ...] = ()
--- a/packages/damsonlane/src/damsonlane/routes/_table.py
+++ b/packages/damsonlane/src/damsonlane/routes/_table.py
@@ -1,4 +1,4 @@
-"""Looking up routes and keys of one document."""
+"""Lookup of routes, services and keys in one routing document."""
 
 from typing import Final
 
@@ -6,7 +6,7 @@
 
 
 class RouteTable:
-    """A document prepared for requests; it never changes, so a request keeps the one it met.
+    """Immutable index of a document; a request uses one table from its arrival to its completion.
 
     Args:
         document: a document without findings.
@@ -29,7 +29,7 @@
         by_prefix = self._hosts.get(name)
         if by_prefix is None:
             return None
-        # Prefixes end with a slash, so only the path's own slashes can end one.
+        # Prefixes end with a slash, so only substrings up to a slash can match.
         end = path.rfind("/")
         while end >= 0:
             route = by_prefix.get(path[: end + 1])
@@ -43,7 +43,7 @@
         return self._organisations.get(key)
 
     def needs_key(self, route: Route) -> bool:
-        """Tell whether a route is closed to callers without a key."""
+        """Return whether a route requires a key."""
         return bool(self.document.organisations) and not route.is_public
 
     def service(self, name: str) -> Service | None:
--- a/packages/damsonlane/src/damsonlane/routes/tests/test_routes.py
+++ b/packages/damsonlane/src/damsonlane/routes/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Checks of routing documents, and looking routes up."""
+"""Checks of routing documents, and lookup of routes and keys."""
 
 import unittest
 from dataclasses import replace
@@ -36,7 +36,7 @@
     return replace(document, **changes)  # type: ignore[arg-type]
 
 
-#: What is wrong, the document that has it, and the path of the finding.
+#: A fault, a document that has it, and the path of the finding.
 FAULTS = (
     ("unknown service", make_document(make_route("/a/", "nobody")), "/routes/0"),
     (
@@ -72,8 +72,8 @@
 
 class DocumentChecksTest(unittest.TestCase):
     def test_each_fault_is_found_with_its_path(self) -> None:
-        for what, document, path in FAULTS:
-            with self.subTest(what):
+        for fault, document, path in FAULTS:
+            with self.subTest(fault):
                 self.assertEqual(
                     [finding.place.path for finding in check_document(document)], [path]
                 )
@@ -84,7 +84,7 @@
         )
         self.assertEqual(len(check_document(document)), 3)
 
-    def test_a_proper_document_has_no_findings(self) -> None:
+    def test_a_correct_document_has_no_findings(self) -> None:
         document = make_document(
             make_route("/a/"),
             make_route("/a/b/"),
