--- a/packages/damsonlane/src/damsonlane/ledger/__init__.py
+++ b/packages/damsonlane/src/damsonlane/ledger/__init__.py
@@ -1,4 +1,4 @@
-"""The job ledger: what makes a marked request run at most once."""
+"""The job ledger, which makes requests with a job key run at most once."""
 
 from damsonlane.ledger._horizon import HORIZON_SECONDS, read_key_time
 from damsonlane.ledger._jobs import (
--- a/packages/damsonlane/src/damsonlane/ledger/_horizon.py
+++ b/packages/damsonlane/src/damsonlane/ledger/_horizon.py
@@ -1,25 +1,25 @@
-"""How long the ledger can vouch for a key."""
+"""How long the ledger remembers keys, and the time at which a key was created."""
 
 import uuid
 from typing import Final
 
-#: Seconds for which answers are kept and dated keys are accepted.
+#: Seconds for which answers are stored and keys with a timestamp are accepted.
 HORIZON_SECONDS: Final = 7 * 86_400.0
 
-#: Version of the UUIDs (RFC 9562) that carry the time at which they were made.
-_DATED_VERSION: Final = 7
+#: Version of the UUIDs (RFC 9562) that contain the time of their creation.
+_TIMESTAMP_VERSION: Final = 7
 
 
 def read_key_time(key: str) -> float | None:
-    """Return when a key was made, in seconds since 1970, if the key says so.
+    """Return when a key was created, in seconds since 1970; None if it has no timestamp.
 
-    Keys that are UUIDs of version 7 carry their time.  Their records may be
-    deleted past the horizon, because such a key is refused from then on.
+    Keys that are UUIDs of version 7 have a timestamp.  Their records may be deleted after the
+    horizon, because such a key is refused from then on.
     """
     try:
         parsed = uuid.UUID(key)
     except ValueError:
         return None
-    if parsed.version != _DATED_VERSION:
+    if parsed.version != _TIMESTAMP_VERSION:
         return None
     return (parsed.int >> 80) / 1000.0
--- a/packages/damsonlane/src/damsonlane/ledger/_jobs.py
+++ b/packages/damsonlane/src/damsonlane/ledger/_jobs.py
@@ -28,11 +28,11 @@
     digest: str
     #: Token of the claim in force; only its holder may start the job.
     token: str
-    #: How far the job is.
+    #: Phase of the job.
     phase: Phase
     #: When the claim was made, in seconds since 1970.
     claimed_at: float
-    #: The answer to repeat, once finished.
+    #: The answer to return again, once finished.
     answer: str = ""
 
     def with_phase(self, phase: Phase, answer: str = "") -> "Job":
@@ -42,22 +42,22 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ClaimJob:
-    """Claim a key; a claimed, started or finished one is reported, not taken."""
+    """Claim a key; if it is claimed, started or finished already, only its state is reported."""
 
     kind: Literal["claim-job"] = "claim-job"
     #: Name of the job.
     name: JobKey
     #: Digest of the request.
     digest: str
-    #: Token of this claim, drawn anew for each handling of a request.
+    #: Token of this claim, unique for each handling of a request.
     token: str
-    #: Wall clock of the entry, in seconds since 1970.
+    #: Time by the wall clock of the entry, in seconds since 1970.
     at: float
 
 
 @dataclass(frozen=True, kw_only=True)
 class StartJob:
-    """Record that the job may reach a target from now on."""
+    """Record that the job may have been sent to a target from now on."""
 
     kind: Literal["start-job"] = "start-job"
     #: Name of the job.
@@ -68,14 +68,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class FinishJob:
-    """Record the whole answer of a started job."""
+    """Record the complete answer of a started job."""
 
     kind: Literal["finish-job"] = "finish-job"
     #: Name of the job.
     name: JobKey
     #: Token of the claim.
     token: str
-    #: The answer to keep.
+    #: The answer to store.
     answer: str
 
 
@@ -86,7 +86,7 @@
     kind: Literal["drop-job"] = "drop-job"
     #: Name of the job.
     name: JobKey
-    #: Token of the claim to drop; another entry's, when taking over.
+    #: Token of the claim to drop; that of another entry during a takeover.
     token: str
     #: Set only by the holder, when it started the job but sent no byte of it.
     is_unsent: bool = False
@@ -100,7 +100,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class JobReply:
-    """What the ledger says to a job command."""
+    """The reply of the ledger to a job command."""
 
     kind: Literal["job-reply"] = "job-reply"
     #: Whether the command took effect, and if not, why.
@@ -109,7 +109,7 @@
     phase: Phase
     #: Token of the claim in force.
     token: str = ""
-    #: The kept answer of a finished job.
+    #: The stored answer of a finished job.
     answer: str = ""
     #: Whether the process that holds the claim is no longer among the boxes.
     is_holder_gone: bool = False
--- a/packages/damsonlane/src/damsonlane/ledger/_ledger.py
+++ b/packages/damsonlane/src/damsonlane/ledger/_ledger.py
@@ -19,8 +19,8 @@
 class Ledger:
     """Records of jobs that may run at most once.
 
-    Its clock is the latest time that a command carried, so that every replica
-    forgets the same records at the same entry of the log.
+    Its clock is the latest time in any command, so that all replicas expire the same records at the
+    same entry of the log.
     """
 
     def __init__(self, jobs: Iterable[Job] = (), clock: float = 0.0) -> None:
@@ -50,7 +50,7 @@
         if job is None and self._is_too_old(command.name.key):
             return JobReply(verdict="too-old", phase="expired")
         if job is None or (job.phase == "dropped" and job.digest == command.digest):
-            return self._take(command)
+            return self._store_claim(command)
         if job.digest != command.digest:
             return JobReply(verdict="mismatch", phase=job.phase)
         if job.token == command.token:
@@ -60,14 +60,14 @@
         return _reply("busy", job)
 
     def start(self, command: StartJob) -> JobReply:
-        """Let the holder of the claim run the job."""
+        """Allow the holder of the claim to run the job."""
         job = self._jobs.get(command.name)
         if job is None or job.token != command.token or job.phase not in ("claimed", "started"):
             return _refuse(job)
         return self._store(job.with_phase("started"))
 
     def finish(self, command: FinishJob) -> JobReply:
-        """Keep the answer of a started job."""
+        """Store the answer of a started job."""
         job = self._jobs.get(command.name)
         if job is None or job.token != command.token or job.phase not in ("started", "finished"):
             return _refuse(job)
@@ -85,7 +85,7 @@
             return _refuse(job)
         return self._store(job.with_phase("dropped"))
 
-    def _take(self, command: ClaimJob) -> JobReply:
+    def _store_claim(self, command: ClaimJob) -> JobReply:
         job = Job(
             name=command.name,
             digest=command.digest,
@@ -100,24 +100,27 @@
         return _reply("done", job)
 
     def _is_too_old(self, key: str) -> bool:
-        made_at = read_key_time(key)
-        return made_at is not None and made_at < self.clock - HORIZON_SECONDS
+        created_at = read_key_time(key)
+        return created_at is not None and created_at < self.clock - HORIZON_SECONDS
 
     def _advance_clock(self, at: float) -> None:
-        """Move the clock and let the oldest records go past the horizon."""
+        """Advance the clock and expire the records beyond the horizon."""
         self.clock = max(self.clock, at)
-        floor = self.clock - HORIZON_SECONDS
+        oldest_kept = self.clock - HORIZON_SECONDS
         while self._jobs:
             name, job = next(iter(self._jobs.items()))
-            if job.claimed_at >= floor:
+            if job.claimed_at >= oldest_kept:
                 break
             self._expire(name, job)
 
     def _expire(self, name: JobKey, job: Job) -> None:
-        """Forget a dated key, which will be refused; of any other keep that it was used."""
+        """Delete the record of a key with a timestamp, which is refused from now on.
+
+        Of any other key, keep a record without the answer, so that it is refused too.
+        """
         del self._jobs[name]
         if not self._is_too_old(name.key):
-            # Moved to the end with a new time, so that the sweep does not meet it each time.
+            # Moved to the end with a new time, so that it is not visited on each advance.
             expired = Job(
                 name=name,
                 digest=job.digest,
--- a/packages/damsonlane/src/damsonlane/ledger/_token.py
+++ b/packages/damsonlane/src/damsonlane/ledger/_token.py
@@ -1,4 +1,4 @@
-"""Tokens of claims, which say which process holds them."""
+"""Tokens of claims, which identify the process that holds the claim."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -21,7 +21,7 @@
 
 
 def read_holder(token: str) -> Holder | None:
-    """Return the holder that a token names, or None if it names none."""
+    """Return the holder that a token identifies, or None if it has another format."""
     parts = token.split(_SEPARATOR)
     if len(parts) != 3:
         return None
--- a/packages/damsonlane/src/damsonlane/ledger/tests/test_ledger.py
+++ b/packages/damsonlane/src/damsonlane/ledger/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger past its horizon."""
+"""Expiry of records after the horizon."""
 
 import unittest
 
@@ -12,8 +12,8 @@
     read_key_time,
 )
 
-#: A key of version 7, made at second 1,000 since 1970.
-_DATED = "0000000f-4240-7000-8000-000000000000"
+#: A UUID of version 7, created 1,000 seconds after 1970.
+_TIMESTAMP_KEY = "0000000f-4240-7000-8000-000000000000"
 
 
 def _claim(key: str, at: float, token: str = "t") -> ClaimJob:
@@ -28,32 +28,32 @@
 
 
 class HorizonTest(unittest.TestCase):
-    def test_a_dated_key_carries_its_time(self) -> None:
-        self.assertEqual(read_key_time(_DATED), 1000.0)
+    def test_a_key_of_version_7_has_a_timestamp(self) -> None:
+        self.assertEqual(read_key_time(_TIMESTAMP_KEY), 1000.0)
         self.assertIsNone(read_key_time("dispute-2231"))
 
-    def test_neither_kind_of_key_runs_again_past_the_horizon(self) -> None:
-        for key, kept in ((_DATED, 1), ("dispute-2231", 2)):
+    def test_no_key_runs_again_after_the_horizon(self) -> None:
+        for key, stored in ((_TIMESTAMP_KEY, 1), ("dispute-2231", 2)):
             with self.subTest(key=key):
                 ledger = Ledger()
                 _run(ledger, key, 1000.0)
                 ledger.claim(_claim("later", 1001.0 + HORIZON_SECONDS))
                 reply = ledger.claim(_claim(key, 1001.0 + HORIZON_SECONDS, token="u"))
                 self.assertEqual(reply.verdict, "too-old")
-                self.assertEqual(len(ledger.jobs()), kept)
+                self.assertEqual(len(ledger.jobs()), stored)
 
-    def test_an_answer_is_kept_until_the_horizon(self) -> None:
+    def test_an_answer_is_stored_until_the_horizon(self) -> None:
         ledger = Ledger()
-        _run(ledger, _DATED, 1000.0)
-        reply = ledger.claim(_claim(_DATED, 999.0 + HORIZON_SECONDS, token="u"))
+        _run(ledger, _TIMESTAMP_KEY, 1000.0)
+        reply = ledger.claim(_claim(_TIMESTAMP_KEY, 999.0 + HORIZON_SECONDS, token="u"))
         self.assertEqual((reply.verdict, reply.answer), ("busy", "done"))
 
-    def test_a_restored_ledger_forgets_the_same(self) -> None:
+    def test_a_restored_ledger_expires_the_same_records(self) -> None:
         ledger = Ledger()
         _run(ledger, "dispute-2231", 1000.0)
         restored = Ledger(ledger.jobs(), ledger.clock)
-        for one in (ledger, restored):
-            one.claim(_claim("later", 1001.0 + HORIZON_SECONDS))
+        for each in (ledger, restored):
+            each.claim(_claim("later", 1001.0 + HORIZON_SECONDS))
         self.assertEqual(ledger.jobs(), restored.jobs())
 
 
