--- a/packages/damsonlane/src/damsonlane/burn/__init__.py
+++ b/packages/damsonlane/src/damsonlane/burn/__init__.py
@@ -1,14 +1,14 @@
-"""Service-level burn, from durable counts of endings."""
+"""Burn rate of error budgets, from durable counts of completed requests."""
 
-from damsonlane.burn._buckets import BurnBook
-from damsonlane.burn._counts import COARSE_SECONDS, FINE_SECONDS, EndingCount
+from damsonlane.burn._buckets import BurnBuckets
+from damsonlane.burn._counts import COARSE_BUCKET_SECONDS, FINE_SECONDS, EndingCount
 from damsonlane.burn._report import Burn, Window, list_windows, measure_burn
 
 __all__ = [
-    "COARSE_SECONDS",
+    "COARSE_BUCKET_SECONDS",
     "FINE_SECONDS",
     "Burn",
-    "BurnBook",
+    "BurnBuckets",
     "EndingCount",
     "Window",
     "list_windows",
--- a/packages/damsonlane/src/damsonlane/burn/_buckets.py
+++ b/packages/damsonlane/src/damsonlane/burn/_buckets.py
@@ -1,18 +1,21 @@
-"""The burn book: part of the replicated state."""
+"""Time buckets of completed requests: part of the replicated state."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 from typing import Final
 
 from damsonlane.burn._counts import (
-    COARSE_KEPT,
-    COARSE_SECONDS,
-    FINE_KEPT,
+    COARSE_BUCKET_SECONDS,
+    COARSE_RETENTION_SECONDS,
+    FINE_RETENTION_SECONDS,
     FINE_SECONDS,
     EndingCount,
 )
 
-_KEPT: Final = {FINE_SECONDS: FINE_KEPT, COARSE_SECONDS: COARSE_KEPT}
+_RETENTION_SECONDS: Final = {
+    FINE_SECONDS: FINE_RETENTION_SECONDS,
+    COARSE_BUCKET_SECONDS: COARSE_RETENTION_SECONDS,
+}
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -23,8 +26,8 @@
     length: int
 
 
-class BurnBook:
-    """Endings by pipeline, in fine buckets for hours and coarse ones for a month."""
+class BurnBuckets:
+    """Completed requests by pipeline, in fine buckets for hours and coarse ones for a month."""
 
     def __init__(self, counts: Iterable[EndingCount] = ()) -> None:
         self._counts = {_bucket(count): count for count in counts}
@@ -40,23 +43,24 @@
         )
 
     def record(self, counts: Iterable[EndingCount]) -> None:
-        """Add fine counts, to their coarse buckets as well."""
+        """Add fine counts, also to their coarse buckets."""
         for count in counts:
-            for counted in (count, count.in_bucket_of(COARSE_SECONDS)):
+            for counted in (count, count.in_bucket_of(COARSE_BUCKET_SECONDS)):
                 bucket = _bucket(counted)
                 known = self._counts.get(bucket)
                 self._counts[bucket] = known.with_more(counted) if known else counted
             if count.start > self._newest:
                 self._newest = count.start
-                self._forget()
+                self._drop_expired()
 
-    def _forget(self) -> None:
-        old = [
+    def _drop_expired(self) -> None:
+        expired = [
             bucket
             for bucket in self._counts
-            if bucket.start < self._newest - _KEPT.get(bucket.length, FINE_KEPT)
+            if bucket.start
+            < self._newest - _RETENTION_SECONDS.get(bucket.length, FINE_RETENTION_SECONDS)
         ]
-        for bucket in old:
+        for bucket in expired:
             del self._counts[bucket]
 
 
--- a/packages/damsonlane/src/damsonlane/burn/_counts.py
+++ b/packages/damsonlane/src/damsonlane/burn/_counts.py
@@ -1,4 +1,4 @@
-"""Counts of endings, in buckets of time."""
+"""Counts of completed requests in time buckets."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -6,16 +6,16 @@
 #: Length of a fine bucket, in seconds.
 FINE_SECONDS: Final = 60
 #: Length of a coarse bucket, in seconds.
-COARSE_SECONDS: Final = 3600
+COARSE_BUCKET_SECONDS: Final = 3600
 #: Age at which fine buckets are deleted, in seconds.
-FINE_KEPT: Final = 6 * 3600
+FINE_RETENTION_SECONDS: Final = 6 * 3600
 #: Age at which coarse buckets are deleted, in seconds.
-COARSE_KEPT: Final = 31 * 86_400
+COARSE_RETENTION_SECONDS: Final = 31 * 86_400
 
 
 @dataclass(frozen=True, kw_only=True)
 class EndingCount:
-    """How many requests of a pipeline ended within one bucket."""
+    """The requests of a pipeline that completed within one time bucket."""
 
     #: Organisation.
     organisation: str
@@ -25,13 +25,13 @@
     start: int
     #: Length of the bucket, in seconds.
     length: int
-    #: Requests answered whole and in time.
+    #: Requests answered completely and in time.
     attained: int
-    #: All requests.
+    #: All requests, including failed ones.
     total: int
 
     def with_more(self, other: "EndingCount") -> "EndingCount":
-        """Return the count with another of the same bucket added."""
+        """Return the sum of this count and another one of the same bucket."""
         return EndingCount(
             organisation=self.organisation,
             pipeline=self.pipeline,
@@ -42,7 +42,11 @@
         )
 
     def in_bucket_of(self, length: int) -> "EndingCount":
-        """Return the count as part of the longer bucket that it falls into."""
+        """Return the count assigned to the longer bucket that contains this one.
+
+        Args:
+            length: length of the longer bucket, in seconds.
+        """
         return EndingCount(
             organisation=self.organisation,
             pipeline=self.pipeline,
--- a/packages/damsonlane/src/damsonlane/burn/_report.py
+++ b/packages/damsonlane/src/damsonlane/burn/_report.py
@@ -1,27 +1,32 @@
-"""Service-level burn: how fast the allowance for failures is used up."""
+"""Burn rate: how fast failures use up an error budget."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
 from typing import Final
 
-from damsonlane.burn._counts import COARSE_SECONDS, FINE_KEPT, FINE_SECONDS, EndingCount
+from damsonlane.burn._counts import (
+    COARSE_BUCKET_SECONDS,
+    FINE_RETENTION_SECONDS,
+    FINE_SECONDS,
+    EndingCount,
+)
 
 
 @dataclass(frozen=True, kw_only=True)
 class Window:
-    """A span of time over which burn is shown."""
+    """A time span over which the burn rate is measured."""
 
-    #: Its name.
+    #: Name of the window.
     name: str
-    #: First second, since 1970.
+    #: Start, in seconds since 1970.
     start: float
-    #: Second after the last.
+    #: End, in seconds since 1970; not included.
     end: float
 
 
 @dataclass(frozen=True, kw_only=True)
 class Burn:
-    """Burn of one pipeline over one window."""
+    """Burn rate of one pipeline over one window."""
 
     #: Organisation.
     organisation: str
@@ -29,34 +34,45 @@
     pipeline: str
     #: Name of the window.
     window: str
-    #: Requests ended.
+    #: Completed requests.
     total: int
-    #: Share answered whole and in time.
+    #: Share of requests answered completely and in time.
     attainment: float
-    #: Share of failures over the share that the objective allows; 1 uses it up exactly.
+    #: Burn rate: share of failures divided by the share that the objective allows; at 1 the error
+    #: budget is used up exactly.
     rate: float
 
 
-_SPANS: Final = {"5m": 300, "1h": 3600, "6h": FINE_KEPT, "3d": 3 * 86_400, "30d": 30 * 86_400}
+_SPANS: Final = {
+    "5m": 300,
+    "1h": 3600,
+    "6h": FINE_RETENTION_SECONDS,
+    "3d": 3 * 86_400,
+    "30d": 30 * 86_400,
+}
 
 
 def list_windows(now: float) -> tuple[Window, ...]:
-    """Return the usual windows that end now."""
+    """Return the standard windows, which end now.
+
+    Args:
+        now: the time, in seconds since 1970.
+    """
     return tuple(Window(name=name, start=now - span, end=now) for name, span in _SPANS.items())
 
 
 def measure_burn(
     counts: Sequence[EndingCount], window: Window, objective: float
 ) -> tuple[Burn, ...]:
-    """Return the burn of each pipeline that had requests in a window.
+    """Return the burn rate of each pipeline that had requests in a window.
 
     Args:
         counts: counts of one or more pipelines.
-        window: the span; a short one is read from fine buckets.
-        objective: share of requests that should be attained.
+        window: the time span; fine buckets are used if they cover it.
+        objective: share of requests that must be answered completely and in time.
     """
-    is_short = window.end - window.start <= FINE_KEPT
-    length = FINE_SECONDS if is_short else COARSE_SECONDS
+    is_short = window.end - window.start <= FINE_RETENTION_SECONDS
+    length = FINE_SECONDS if is_short else COARSE_BUCKET_SECONDS
     chosen = [
         count
         for count in counts
@@ -76,7 +92,11 @@
     window: Window,
     objective: float,
 ) -> Burn:
-    own = [c for c in counts if (c.organisation, c.pipeline) == (organisation, pipeline)]
+    own = [
+        count
+        for count in counts
+        if (count.organisation, count.pipeline) == (organisation, pipeline)
+    ]
     total = sum(count.total for count in own)
     attainment = sum(count.attained for count in own) / total
     return Burn(
--- a/packages/damsonlane/src/damsonlane/burn/tests/test_burn.py
+++ b/packages/damsonlane/src/damsonlane/burn/tests/test_burn.py
@@ -1,8 +1,8 @@
-"""Burn: buckets, what is kept, and rates."""
+"""Time buckets, their retention, and burn rates."""
 
 import unittest
 
-from damsonlane.burn import Burn, BurnBook, EndingCount, Window, measure_burn
+from damsonlane.burn import Burn, BurnBuckets, EndingCount, Window, measure_burn
 
 
 def _count(start: int, attained: int, total: int, length: int = 60) -> EndingCount:
@@ -13,23 +13,23 @@
 
 class BurnTest(unittest.TestCase):
     def test_counts_are_added_in_fine_and_coarse_buckets(self) -> None:
-        book = BurnBook()
-        book.record([_count(3600, 1, 2), _count(3600, 3, 3), _count(3660, 0, 1)])
+        buckets = BurnBuckets()
+        buckets.record([_count(3600, 1, 2), _count(3600, 3, 3), _count(3660, 0, 1)])
         expected = (_count(3600, 4, 5), _count(3660, 0, 1), _count(3600, 4, 6, length=3600))
-        self.assertEqual(book.counts(), expected)
+        self.assertEqual(buckets.counts(), expected)
 
-    def test_a_snapshot_holds_the_same(self) -> None:
-        book = BurnBook()
-        book.record([_count(3600, 1, 2)])
-        self.assertEqual(BurnBook(book.counts()).counts(), book.counts())
+    def test_buckets_are_restored_from_their_counts(self) -> None:
+        buckets = BurnBuckets()
+        buckets.record([_count(3600, 1, 2)])
+        self.assertEqual(BurnBuckets(buckets.counts()).counts(), buckets.counts())
 
-    def test_old_fine_buckets_go_and_coarse_ones_stay(self) -> None:
-        book = BurnBook()
-        book.record([_count(0, 1, 1), _count(7 * 3600, 1, 1)])
-        kept = [(count.start, count.length) for count in book.counts()]
-        self.assertEqual(kept, [(25200, 60), (0, 3600), (25200, 3600)])
+    def test_old_fine_buckets_are_dropped_and_coarse_ones_kept(self) -> None:
+        buckets = BurnBuckets()
+        buckets.record([_count(0, 1, 1), _count(7 * 3600, 1, 1)])
+        remaining = [(count.start, count.length) for count in buckets.counts()]
+        self.assertEqual(remaining, [(25200, 60), (0, 3600), (25200, 3600)])
 
-    def test_burn_compares_failures_with_the_allowance(self) -> None:
+    def test_the_burn_rate_compares_failures_with_the_error_budget(self) -> None:
         window = Window(name="5m", start=3600, end=3900)
         burns = measure_burn([_count(3600, 95, 100), _count(7200, 0, 9)], window, 0.99)
         self.assertEqual(len(burns), 1)
--- a/packages/damsonlane/src/damsonlane/costs/__init__.py
+++ b/packages/damsonlane/src/damsonlane/costs/__init__.py
@@ -1,4 +1,4 @@
-"""Cost by stage: lines from entries, totals in the replicated state."""
+"""Costs by stage: lines reported by entries, totals in the replicated state."""
 
 from damsonlane.costs._accounts import CostBook
 from damsonlane.costs._lines import (
--- a/packages/damsonlane/src/damsonlane/costs/_accounts.py
+++ b/packages/damsonlane/src/damsonlane/costs/_accounts.py
@@ -1,9 +1,9 @@
-"""The cost book: part of the replicated state."""
+"""The totals of costs by account: part of the replicated state."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from damsonlane.burn import BurnBook, EndingCount
+from damsonlane.burn import BurnBuckets, EndingCount
 from damsonlane.costs._lines import (
     AttemptOutcome,
     CostLine,
@@ -23,7 +23,7 @@
 
 
 class CostBook:
-    """Totals by organisation, pipeline, stage and outcome."""
+    """Totals of costs by organisation, pipeline, stage and outcome."""
 
     def __init__(
         self,
@@ -31,12 +31,12 @@
         senders: Iterable[SenderProgress] = (),
         endings: Iterable[EndingCount] = (),
     ) -> None:
-        self.burn = BurnBook(endings)
+        self.burn = BurnBuckets(endings)
         self._totals = {_account(total): total for total in totals}
         self._batches = {progress.sender: progress.batch for progress in senders}
 
     def record(self, command: RecordCosts) -> CostsRecorded:
-        """Add a batch unless it was recorded before or comes too early."""
+        """Add a batch unless it was recorded before or an earlier one is missing."""
         last = self._batches.get(command.sender, 0)
         if command.batch == last + 1:
             for line in command.lines:
@@ -56,7 +56,7 @@
         )
 
     def senders(self) -> tuple[SenderProgress, ...]:
-        """Return how far each sender is recorded."""
+        """Return the last recorded batch of each sender."""
         return tuple(
             SenderProgress(sender=sender, batch=batch) for sender, batch in self._batches.items()
         )
--- a/packages/damsonlane/src/damsonlane/costs/_lines.py
+++ b/packages/damsonlane/src/damsonlane/costs/_lines.py
@@ -5,7 +5,7 @@
 
 from damsonlane.burn import EndingCount
 
-#: How an attempt ended, as the bill shows it.
+#: Outcome of an attempt, as shown on bills.
 AttemptOutcome = Literal["answered", "failed", "cancelled"]
 
 
@@ -19,32 +19,32 @@
     pipeline: str
     #: Stage of the pipeline.
     stage: str
-    #: Back end that worked.
+    #: Target of the attempt.
     target: str
     #: Request that caused the attempt.
     request: str
     #: Number of the attempt within the request, from 1.
     attempt: int
-    #: How it ended.
+    #: Outcome of the attempt.
     outcome: AttemptOutcome
-    #: Seconds that the back end was kept busy, as seen by the entry.
+    #: Seconds for which the target was busy, as measured by the entry.
     seconds: float
-    #: Tokens generated, for engines.
+    #: Tokens generated; 0 for targets that are not engines.
     tokens: int = 0
 
 
 @dataclass(frozen=True, kw_only=True)
 class RecordCosts:
-    """A batch of cost lines, billed once however often it is sent."""
+    """Command: record a batch of cost lines, which is billed once even if sent several times."""
 
     kind: Literal["record-costs"] = "record-costs"
     #: Entry that sends, with its incarnation.
     sender: str
-    #: Number of the batch at that sender, from 1 without gaps.
+    #: Sequence number of the batch at that sender, from 1 without gaps.
     batch: int
     #: The lines.
     lines: tuple[CostLine, ...]
-    #: Endings counted since the batch before, in fine buckets.
+    #: Completed requests since the previous batch, in fine buckets.
     endings: tuple[EndingCount, ...] = ()
 
 
@@ -67,11 +67,11 @@
     pipeline: str
     #: Stage of the pipeline.
     stage: str
-    #: How the attempts ended.
+    #: Outcome of the attempts.
     outcome: AttemptOutcome
     #: Number of attempts.
     attempts: int
-    #: Busy seconds.
+    #: Seconds for which targets were busy.
     seconds: float
     #: Tokens generated.
     tokens: int
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class SenderProgress:
-    """How far the batches of one sender are recorded."""
+    """The last recorded batch of one sender."""
 
     #: Entry with its incarnation.
     sender: str
