--- a/packages/damsonlaned/src/damsonlaned/quarantine/__init__.py
+++ b/packages/damsonlaned/src/damsonlaned/quarantine/__init__.py
@@ -1,7 +1,7 @@
-"""Keeping requests that end targets from them, at an entry of either kind.
+"""Quarantine of requests that crash targets, at an entry of either kind.
 
-What enters are targets that ended, with the requests that broke off there, and the list that
-control holds; what leaves is whether a request may go to targets.
+Reports exits of targets with the requests that were interrupted there to control, and decides by
+the list of control whether a request may be sent to targets.
 """
 
 from damsonlaned.quarantine._client import QuarantineClient
--- a/packages/damsonlaned/src/damsonlaned/quarantine/_client.py
+++ b/packages/damsonlaned/src/damsonlaned/quarantine/_client.py
@@ -1,4 +1,4 @@
-"""Telling the leader of control which targets ended."""
+"""Client that commits reports to control."""
 
 from collections.abc import Sequence
 from typing import Final
@@ -7,14 +7,14 @@
 from damsonlane_rpc import ControlClient
 from damsonlaned.quarantine._quarantine import Report
 
-#: Seconds for which telling control may take, over all replicas.
-SUBMIT_SECONDS: Final = 2.0
-#: Seconds for which one replica may take.
-ATTEMPT_SECONDS: Final = 0.5
+#: Time-out of committing reports, over all replicas, in seconds.
+SUBMIT_TIMEOUT_SECONDS: Final = 2.0
+#: Time-out of an attempt at one replica, in seconds.
+ATTEMPT_TIMEOUT_SECONDS: Final = 0.5
 
 
 class QuarantineClient:
-    """Commits reports at whichever replica leads.
+    """Commits reports at the leader of control.
 
     Args:
         client: client of control, used on the running loop.
@@ -24,13 +24,13 @@
         self._client: Final = client
 
     async def submit(self, reports: Sequence[Report]) -> QuarantineList:
-        """Commit reports and return the list that holds then.
+        """Commit reports and return the list after them.
 
         Raises:
             UnavailableError: not confirmed in time.
         """
         replies = await self._client.submit(
-            reports, SUBMIT_SECONDS, attempt_seconds=ATTEMPT_SECONDS
+            reports, SUBMIT_TIMEOUT_SECONDS, attempt_seconds=ATTEMPT_TIMEOUT_SECONDS
         )
         last = replies[-1]
         assert isinstance(last, QuarantineNoted)
--- a/packages/damsonlaned/src/damsonlaned/quarantine/_known.py
+++ b/packages/damsonlaned/src/damsonlaned/quarantine/_known.py
@@ -1,4 +1,4 @@
-"""The list of control as this process holds it; it only ever moves forward."""
+"""The newest list of quarantined requests that control sent to this process."""
 
 import logging
 from collections.abc import Callable
@@ -10,25 +10,28 @@
 
 
 class KnownQuarantine:
-    """Which requests are kept from targets, as control last said."""
+    """The quarantined requests, as last received from control.
+
+    An older list never replaces a newer one.
+    """
 
     def __init__(self) -> None:
-        #: The newest list; revision -1 until one was heard.
+        #: The newest list; revision -1 until one was received.
         self.newest = QuarantineList(revision=-1)
         self._listeners: list[Callable[[], None]] = []
 
     def on_change(self, listener: Callable[[], None]) -> None:
-        """Call a function after each change of the list."""
+        """Register a function that is called after each change of the list."""
         self._listeners.append(listener)
 
     def put(self, newer: QuarantineList) -> None:
-        """Take a list over, unless it is older than what is held."""
+        """Replace the list, unless the given one is not newer."""
         if newer.revision <= self.newest.revision:
             return
         before, self.newest = self.newest, newer
         if before.held != newer.held:
             held = [request.fingerprint for request in newer.held]
             fields = {"held": held, "revision": newer.revision}
-            _LOG.warning("requests kept from targets", extra=fields)
+            _LOG.warning("list of quarantined requests changed", extra=fields)
         for listener in self._listeners:
             listener()
--- a/packages/damsonlaned/src/damsonlaned/quarantine/_probe.py
+++ b/packages/damsonlaned/src/damsonlaned/quarantine/_probe.py
@@ -1,4 +1,4 @@
-"""Looking whether a target under which an answer broke off still takes connections."""
+"""Probes of targets whose answers were interrupted: do they still accept connections?"""
 
 import asyncio
 from dataclasses import dataclass
@@ -7,37 +7,37 @@
 from damsonlane.backoff import TargetStart
 from damsonlane_rpc import Endpoint
 
-#: Seconds for which a connection that only tells whether a target is there may take.
-LOOK_SECONDS: Final = 0.2
-#: Seconds after the first look at a target until the second one: an ending process has closed
-#: everything by then, and one that is started again takes a few seconds.
+#: Time-out of a probe, in seconds.
+PROBE_TIMEOUT_SECONDS: Final = 0.2
+#: Seconds between the first and the second probe of a target: by then a process that exits has
+#: closed its sockets, and a restart takes a few seconds.
 LOOK_AGAIN_SECONDS: Final = 0.1
 
 
 @dataclass(frozen=True, kw_only=True)
 class LostTarget:
-    """A start of a target under which answers broke off."""
+    """An incarnation of a target whose answers were interrupted."""
 
-    #: Its name.
+    #: Name of the target.
     target: str
     #: Its address.
     address: str
-    #: Its start, in milliseconds since 1970; 0 where it does not tell.
+    #: Its start, in milliseconds since 1970; 0 where it is not reported.
     start: int
-    #: Whether a later start has the same name and tells no start either.
+    #: Whether a later incarnation has the same name and reports no start either.
     is_name_kept: bool = False
 
     @classmethod
     def of(cls, named: TargetStart) -> Self:
-        """Return a start of a registered target under which answers broke off."""
+        """Return the incarnation of a registered target whose answers were interrupted."""
         return cls(target=named.target, address=named.address, start=named.start)
 
 
 async def refuses_connections(address: str) -> bool:
-    """Tell whether nothing listens at an address; no answer in time tells nothing."""
+    """Return whether connections to an address are refused; a time-out counts as not refused."""
     endpoint = Endpoint.parse(address)
     try:
-        async with asyncio.timeout(LOOK_SECONDS):
+        async with asyncio.timeout(PROBE_TIMEOUT_SECONDS):
             _, writer = await asyncio.open_connection(endpoint.host, endpoint.port)
     except ConnectionRefusedError:
         return True
--- a/packages/damsonlaned/src/damsonlaned/quarantine/_quarantine.py
+++ b/packages/damsonlaned/src/damsonlaned/quarantine/_quarantine.py
@@ -1,4 +1,4 @@
-"""Keeping requests that end targets from them, at one entry."""
+"""Quarantine of requests that crash targets, at one entry."""
 
 import asyncio
 import contextlib
@@ -23,52 +23,53 @@
 
 _LOG: Final = logging.getLogger(__name__)
 
-#: Seconds for which a request waits until control knows of the target that ended under it,
-#: before it goes to another one.  A commit takes some milliseconds; without the wait one more
-#: target ended under each deadly request, while word of the third was on its way.
-SETTLE_SECONDS: Final = 0.25
-#: Seconds between attempts to tell control, while it can't be reached.
-PAUSE_SECONDS: Final = 0.2
-#: Reports that wait for control at most; the oldest are given up.
-MOST_WAITING: Final = 256
-#: Seconds after which a caller of a request that is held may come back, at the least.
-LEAST_RETRY_SECONDS: Final = 1.0
-
-#: What an entry tells control.
+#: Longest wait of a request for control to commit the exit of its target, in seconds, before it
+#: is sent to another one.  A commit takes some milliseconds; without the wait a crashing request
+#: would cost one more target while the report of the third exit is on its way.
+MAX_COMMIT_WAIT_SECONDS: Final = 0.25
+#: Seconds between attempts to send reports while control can't be reached.
+RETRY_PAUSE_SECONDS: Final = 0.2
+#: Most reports that wait to be sent to control; the oldest are dropped.
+MAX_PENDING_REPORTS: Final = 256
+#: Shortest time after which the caller of a quarantined request may retry, in seconds.
+MIN_RETRY_SECONDS: Final = 1.0
+
+#: A report of an entry to control.
 Report = NoteTargetEnd | NoteSurvived
-#: Commits reports and returns the list that holds then; raises `UnavailableError` if it can't.
+#: Commits reports and returns the list after them; raises `UnavailableError` if it can't.
 Submit = Callable[[Sequence[Report]], Awaitable[QuarantineList]]
 
 
 class Quarantine:
-    """Tells control what ended targets, and entries' requests whether they are held.
+    """Reports exits of targets to control, and finds quarantined requests.
 
-    Control counts for all entries and keeps it over their lives.  While it can't be reached,
-    what this entry saw itself counts here.
+    Control counts the exits that all entries report and stores them beyond the entries' lifetime.
+    While it can't be reached, the exits that this entry observed itself count here.
 
     Args:
-        known: what control says.
+        known: the list received from control.
         submit: commits reports.
     """
 
     def __init__(self, known: KnownQuarantine, submit: Submit) -> None:
         self._known: Final = known
         self._submit: Final = submit
-        #: What control does not know yet; what it knows may be released there meanwhile.
-        self._own = QuarantineBook()
+        #: Reports since control last had all of them.  Emptied once all are committed, since
+        #: control may release a request meanwhile.
+        self._local = QuarantineBook()
         self._served: Final = RecentlyServed()
-        self._waiting: list[Report] = []
-        self._told: Final = asyncio.Event()
-        self._told.set()
+        self._pending: list[Report] = []
+        self._all_reported: Final = asyncio.Event()
+        self._all_reported.set()
         self._task: asyncio.Task[None] | None = None
-        self._watches: dict[str, list[Callable[[], None]]] = {}
-        known.on_change(self._tell_watches)
+        self._watchers: dict[str, list[Callable[[], None]]] = {}
+        known.on_change(self._notify_watchers)
 
     def find_held(self, fingerprint: str) -> HeldRequest | None:
-        """Return a request as it is held, or None if it may go to targets."""
+        """Return a quarantined request, or None if it may be sent to targets."""
         lists = [self._known.newest]
-        if self._waiting:
-            lists.append(self._own.list_for_entries())
+        if self._pending:
+            lists.append(self._local.list_for_entries())
         for known in lists:
             for request in known.held:
                 if request.fingerprint == fingerprint:
@@ -76,17 +77,22 @@
         return None
 
     def is_suspect(self, fingerprint: str) -> bool:
-        """Tell whether targets ended under a request that is not held."""
+        """Return whether a request that is not quarantined is part of several exits."""
         return fingerprint in self._known.newest.suspects
 
     def take_end(self, lost: LostTarget, runs: Sequence[BrokenRun]) -> None:
-        """Take a target that ended, with what broke off there."""
+        """Record the exit of a target with the requests that were interrupted there.
+
+        Args:
+            lost: the incarnation that exited.
+            runs: the requests; those that were served recently are left out.
+        """
         now = asyncio.get_running_loop().time()
         suspects = tuple(run for run in runs if not self._served.contains(run.fingerprint, now))
         if not suspects:
             return
         at = round(time.time(), 3)
-        self._tell(
+        self._report(
             NoteTargetEnd(
                 target=lost.target,
                 start=lost.start,
@@ -97,71 +103,80 @@
         )
 
     def note_served(self, fingerprint: str) -> None:
-        """Note a request that a target served to a good end."""
+        """Record a request that a target served."""
         self._served.record(fingerprint, asyncio.get_running_loop().time())
         if self.is_suspect(fingerprint) or self.find_held(fingerprint) is not None:
-            self._tell(NoteSurvived(fingerprints=(fingerprint,)))
+            self._report(NoteSurvived(fingerprints=(fingerprint,)))
 
     async def settle(self, *fingerprints: str) -> None:
-        """Wait until control knows what this entry told, but not for long.
+        """Wait for a limited time until control has committed all reports of this entry.
 
-        Nobody waits for requests that are no suspects: one more end does not hold them.
+        Returns at once if none of the requests is a suspect: one more exit does not quarantine
+        them.
         """
-        own = self._own.list_for_entries()
-        if not any(self.is_suspect(name) or name in own.suspects for name in fingerprints):
+        local = self._local.list_for_entries()
+        if not any(self.is_suspect(name) or name in local.suspects for name in fingerprints):
             return
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(SETTLE_SECONDS):
-                await self._told.wait()
+            async with asyncio.timeout(MAX_COMMIT_WAIT_SECONDS):
+                await self._all_reported.wait()
 
     @contextlib.contextmanager
-    def watch(self, fingerprint: str, tell: Callable[[], None]) -> Iterator[None]:
-        """Have a function called if a request is held from now on, as long as the block lasts."""
-        watches = self._watches.setdefault(fingerprint, [])
-        watches.append(tell)
+    def watch(self, fingerprint: str, notify: Callable[[], None]) -> Iterator[None]:
+        """Return a context in which a function is called when a request is quarantined.
+
+        Args:
+            fingerprint: fingerprint of the request.
+            notify: the function; it may be called more than once.
+        """
+        watchers = self._watchers.setdefault(fingerprint, [])
+        watchers.append(notify)
         try:
             yield
         finally:
-            watches.remove(tell)
-            if not watches and self._watches.get(fingerprint) is watches:
-                del self._watches[fingerprint]
+            watchers.remove(notify)
+            if not watchers and self._watchers.get(fingerprint) is watchers:
+                del self._watchers[fingerprint]
 
     async def stop(self) -> None:
-        """Tell control no more."""
+        """Stop sending reports to control."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
-    def _tell(self, report: Report) -> None:
-        """Have control told, and count by what this entry knows until then."""
-        self._own.apply(report)
-        self._waiting = [*self._waiting, report][-MOST_WAITING:]
-        self._told.clear()
-        self._tell_watches()
+    def _report(self, report: Report) -> None:
+        """Queue a report for control, and count it locally until it is committed."""
+        self._local.apply(report)
+        self._pending = [*self._pending, report][-MAX_PENDING_REPORTS:]
+        self._all_reported.clear()
+        self._notify_watchers()
         if self._task is None or self._task.done():
-            self._task = start_task(self._tell_control(), "telling which targets ended")
+            self._task = start_task(self._send_reports(), "reporting exits of targets")
 
-    async def _tell_control(self) -> None:
-        while self._waiting:
-            reports = tuple(self._waiting)
+    async def _send_reports(self) -> None:
+        while self._pending:
+            reports = tuple(self._pending)
             try:
                 held = await self._submit(reports)
             except UnavailableError as error:
-                _LOG.info("ends of targets not told", extra={"fault": str(error)})
-                await asyncio.sleep(PAUSE_SECONDS)
+                _LOG.info(
+                    "could not report exits of targets to control; retrying",
+                    extra={"fault": str(error)},
+                )
+                await asyncio.sleep(RETRY_PAUSE_SECONDS)
                 continue
-            self._waiting = [report for report in self._waiting if report not in reports]
+            self._pending = [report for report in self._pending if report not in reports]
             self._known.put(held)
-        self._own = QuarantineBook()
-        self._told.set()
+        self._local = QuarantineBook()
+        self._all_reported.set()
 
-    def _tell_watches(self) -> None:
-        for fingerprint, watches in list(self._watches.items()):
+    def _notify_watchers(self) -> None:
+        for fingerprint, watchers in list(self._watchers.items()):
             if self.find_held(fingerprint) is not None:
-                for tell in list(watches):
-                    tell()
+                for notify in list(watchers):
+                    notify()
 
 
 def find_retry_seconds(held: HeldRequest) -> float:
-    """Return the seconds after which the caller of a request that is held may come back."""
-    return max(LEAST_RETRY_SECONDS, round(held.until - time.time(), 1))
+    """Return the seconds after which the caller of a quarantined request may retry."""
+    return max(MIN_RETRY_SECONDS, round(held.until - time.time(), 1))
