--- a/packages/damsonlane/src/damsonlane/evacuation/_evacuations.py
+++ b/packages/damsonlane/src/damsonlane/evacuation/_evacuations.py
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class EvacuationsSnapshot:
-    """The whole state."""
+    """The complete state."""
 
     #: Number of changes so far.
     revision: int = 0
@@ -91,7 +91,7 @@
         self._evacuations = {item.data_centre: item for item in start.evacuations}
 
     def snapshot(self) -> EvacuationsSnapshot:
-        """Return the whole state."""
+        """Return the complete state."""
         return EvacuationsSnapshot(revision=self.revision, evacuations=self.evacuations())
 
     def evacuations(self) -> tuple[Evacuation, ...]:
--- a/packages/damsonlane/src/damsonlane/quarantine/_registry.py
+++ b/packages/damsonlane/src/damsonlane/quarantine/_registry.py
@@ -20,7 +20,7 @@
     TargetExit,
 )
 
-#: Most exits that are stored.
+#: Most exits that are stored: some minutes of a fleet that loses one target a second.
 MOST_ENDS: Final = 256
 #: Most requests that are stored for one exit; those that ran for the shortest time are kept.
 MAX_RUNS: Final = 48
@@ -74,7 +74,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class QuarantineSnapshot:
-    """The whole state."""
+    """The complete state."""
 
     #: Number of changes of the list so far.
     revision: int = 0
@@ -98,7 +98,7 @@
         return self._list.revision
 
     def snapshot(self) -> QuarantineSnapshot:
-        """Return the whole state."""
+        """Return the complete state."""
         return QuarantineSnapshot(revision=self.revision, ends=tuple(self._exits.values()))
 
     def list_for_entries(self) -> QuarantineList:
@@ -179,7 +179,7 @@
         )
 
     def _find_start(self, command: NoteTargetEnd) -> int:
-        """Return what tells the exit of a target that keeps its name from its other exits."""
+        """Return the start that identifies the exit of a target that keeps its name."""
         for target_exit in self._exits.values():
             is_near = abs(target_exit.at - command.at) < SAME_EXIT_SECONDS
             if target_exit.target == command.target and is_near:
--- a/packages/damsonlane/src/damsonlane/quarantine/_served.py
+++ b/packages/damsonlane/src/damsonlane/quarantine/_served.py
@@ -5,7 +5,7 @@
 #: Seconds for which a request counts as recently served.  A request that many callers send is in
 #: progress at every target; without this, the loss of three targets at once would quarantine it.
 SERVED_SECONDS: Final = 60.0
-#: Most requests that are remembered.
+#: Most requests that are remembered: some minutes of an entry that serves a dozen a second.
 MAX_SERVED: Final = 2_048
 
 
--- a/packages/damsonlane/src/damsonlane/ratelimit/_registry.py
+++ b/packages/damsonlane/src/damsonlane/ratelimit/_registry.py
@@ -101,7 +101,7 @@
 
 
 def list_untold(book: RateLimitBook, listed: RateLimitList, now: float) -> tuple[RateWord, ...]:
-    """Return the limits that a box knows and that control should report to all boxes.
+    """Return the limits, and ends of limits, that a box knows and the replicated list lacks.
 
     Args:
         book: the limits that the box knows.
--- a/packages/damsonlane/src/damsonlane/targets/_registry.py
+++ b/packages/damsonlane/src/damsonlane/targets/_registry.py
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class TargetsSnapshot:
-    """The whole registry."""
+    """The complete registry."""
 
     #: Number of changes so far.
     revision: int = 0
@@ -86,7 +86,7 @@
         self._forgotten_revision = start.forgotten_revision
 
     def snapshot(self) -> TargetsSnapshot:
-        """Return the whole registry."""
+        """Return the complete registry."""
         return TargetsSnapshot(
             revision=self.revision,
             known=tuple(self._known[name] for name in sorted(self._known)),
