--- a/packages/damsonlane/src/damsonlane/quarantine/__init__.py
+++ b/packages/damsonlane/src/damsonlane/quarantine/__init__.py
@@ -1,11 +1,20 @@
-"""Requests that end their targets: which ones they are, by what ended under them.
+"""Quarantine of requests that crash their targets.
 
-What enters are ends of targets with the requests that broke off there, and word of requests
-that were served; what leaves is the list of requests that no target is to get.
+Reports of targets that exited, with the requests that were interrupted there, and of requests that
+were served determine the list of requests that are sent to no target.
 """
 
-from damsonlane.quarantine._blame import ENDS_TO_HOLD, ENDS_TO_HOLD_ALIKE
-from damsonlane.quarantine._book import (
+from damsonlane.quarantine._attribution import ENDS_TO_HOLD, ENDS_TO_HOLD_ALIKE
+from damsonlane.quarantine._exits import (
+    BrokenRun,
+    ForgetTargetEnds,
+    NoteSurvived,
+    NoteTargetEnd,
+    ReleaseRequest,
+    TargetExit,
+)
+from damsonlane.quarantine._fingerprint import find_fingerprint
+from damsonlane.quarantine._registry import (
     COUNTED_SECONDS,
     MOST_ENDS,
     HeldRequest,
@@ -15,16 +24,7 @@
     QuarantineNoted,
     QuarantineSnapshot,
 )
-from damsonlane.quarantine._ends import (
-    BrokenRun,
-    ForgetTargetEnds,
-    NoteSurvived,
-    NoteTargetEnd,
-    ReleaseRequest,
-    TargetEnd,
-)
-from damsonlane.quarantine._fingerprint import find_fingerprint
-from damsonlane.quarantine._served import SERVED_SECONDS, ServedLately
+from damsonlane.quarantine._served import SERVED_SECONDS, RecentlyServed
 
 __all__ = [
     "COUNTED_SECONDS",
@@ -43,7 +43,7 @@
     "QuarantineNoted",
     "QuarantineSnapshot",
     "ReleaseRequest",
-    "ServedLately",
-    "TargetEnd",
+    "RecentlyServed",
+    "TargetExit",
     "find_fingerprint",
 ]
--- /dev/null
+++ b/packages/damsonlane/src/damsonlane/quarantine/_registry.py
@@ -0,0 +1,241 @@
+"""The registry of quarantined requests: part of the replicated state."""
+
+from collections.abc import Collection, Iterable
+from dataclasses import dataclass, replace
+from typing import Final, Literal
+
+from damsonlane.quarantine._attribution import (
+    ENDS_TO_HOLD,
+    ExitsByIdentity,
+    attribute_exits,
+    find_oldest_removable,
+    list_suspects,
+)
+from damsonlane.quarantine._exits import (
+    BrokenRun,
+    ForgetTargetEnds,
+    NoteSurvived,
+    NoteTargetEnd,
+    ReleaseRequest,
+    TargetExit,
+)
+
+#: Most exits that are stored: some minutes of a fleet that loses one target a second.
+MOST_ENDS: Final = 256
+#: Most requests that are stored for one exit; those that ran for the shortest time are kept.
+MAX_RUNS: Final = 48
+#: Seconds for which an exit counts.  A request that crashes targets costs three of them in this
+#: time.
+COUNTED_SECONDS: Final = 3_600.0
+#: Seconds within which reports of entries are taken to be about the same exit of a target that
+#: keeps its name: entries notice it at once, and a restart takes longer.
+SAME_EXIT_SECONDS: Final = 0.2
+#: Exits from which on a request is a suspect: entries report if it is served after all.
+EXITS_TO_SUSPECT: Final = 2
+#: Most suspects that are sent to entries.
+MAX_SUSPECTS: Final = 128
+
+#: The commands that change the registry.
+QuarantineCommand = NoteTargetEnd | NoteSurvived | ReleaseRequest | ForgetTargetEnds
+
+
+@dataclass(frozen=True, kw_only=True)
+class HeldRequest:
+    """A quarantined request."""
+
+    #: Its fingerprint.
+    fingerprint: str
+    #: Number of exits that are attributed to it.
+    ends: int
+    #: When it is released unless more exits are attributed to it, in seconds since 1970.
+    until: float
+
+
+@dataclass(frozen=True, kw_only=True)
+class QuarantineList:
+    """The quarantine as sent to entries, at a revision."""
+
+    #: Number of changes so far; a lower one is older.
+    revision: int = 0
+    #: Quarantined requests.
+    held: tuple[HeldRequest, ...] = ()
+    #: Fingerprints of other requests that are part of several exits.
+    suspects: tuple[str, ...] = ()
+
+
+@dataclass(frozen=True, kw_only=True)
+class QuarantineNoted:
+    """The reply to all commands: the current list."""
+
+    kind: Literal["quarantine-noted"] = "quarantine-noted"
+    #: The list after the command.
+    quarantine: QuarantineList
+
+
+@dataclass(frozen=True, kw_only=True)
+class QuarantineSnapshot:
+    """The complete state."""
+
+    #: Number of changes of the list so far.
+    revision: int = 0
+    #: Exits that count, oldest first.
+    ends: tuple[TargetExit, ...] = ()
+
+
+class QuarantineBook:
+    """Applies commands of entries and operators about requests that crash targets."""
+
+    def __init__(self, snapshot: QuarantineSnapshot | None = None) -> None:
+        start = snapshot or QuarantineSnapshot()
+        self._exits: dict[tuple[str, int], TargetExit] = {}
+        self._exits_by_request: dict[str, set[tuple[str, int]]] = {}
+        self._replace_exits(start.ends)
+        self._list = self._make_list(start.revision)
+
+    @property
+    def revision(self) -> int:
+        """Number of changes of the list so far."""
+        return self._list.revision
+
+    def snapshot(self) -> QuarantineSnapshot:
+        """Return the complete state."""
+        return QuarantineSnapshot(revision=self.revision, ends=tuple(self._exits.values()))
+
+    def list_for_entries(self) -> QuarantineList:
+        """Return the list that is sent to entries."""
+        return self._list
+
+    def is_forgetful_at(self, now: float) -> bool:
+        """Return whether some exit no longer counts.
+
+        Args:
+            now: seconds since 1970.
+        """
+        return any(target_exit.at < now - COUNTED_SECONDS for target_exit in self._exits.values())
+
+    def apply(self, command: QuarantineCommand) -> QuarantineNoted:
+        """Apply one command."""
+        match command:
+            case NoteTargetEnd():
+                self._record_exit(command)
+            case NoteSurvived(fingerprints=fingerprints):
+                self._release(fingerprints)
+            case ReleaseRequest(fingerprint=fingerprint):
+                self._release((fingerprint,))
+            case ForgetTargetEnds(before=before):
+                self._replace_exits(
+                    [
+                        target_exit
+                        for target_exit in self._exits.values()
+                        if target_exit.at >= before
+                    ]
+                )
+        if not isinstance(command, NoteTargetEnd) or self._has_suspects(command.runs):
+            self._update_list()
+        return QuarantineNoted(quarantine=self._list)
+
+    def _record_exit(self, command: NoteTargetEnd) -> None:
+        start = self._find_start(command) if command.is_name_kept else command.start
+        target_exit = TargetExit(
+            target=command.target, start=start, at=command.at, runs=command.runs
+        )
+        known = self._exits.get(target_exit.identity)
+        if known is not None:
+            target_exit = replace(known, runs=(*known.runs, *command.runs))
+        self._store(replace(target_exit, runs=_keep_shortest(target_exit.runs)))
+        while len(self._exits) > MOST_ENDS:
+            exits = list(self._exits.values())
+            held = [request.fingerprint for request in self._list.held]
+            self._remove(exits[find_oldest_removable(exits, held)])
+
+    def _store(self, target_exit: TargetExit) -> None:
+        """Store an exit, replacing an earlier record of it."""
+        self._exits[target_exit.identity] = target_exit
+        for run in target_exit.runs:
+            self._exits_by_request.setdefault(run.fingerprint, set()).add(target_exit.identity)
+
+    def _remove(self, target_exit: TargetExit) -> None:
+        del self._exits[target_exit.identity]
+        for run in target_exit.runs:
+            self._exits_by_request[run.fingerprint].discard(target_exit.identity)
+            if not self._exits_by_request[run.fingerprint]:
+                del self._exits_by_request[run.fingerprint]
+
+    def _replace_exits(self, exits: Iterable[TargetExit]) -> None:
+        """Replace all exits."""
+        self._exits.clear()
+        self._exits_by_request.clear()
+        for target_exit in exits:
+            self._store(target_exit)
+
+    def _has_suspects(self, runs: Iterable[BrokenRun]) -> bool:
+        """Return whether some requests are part of several exits; if not, the list is unchanged.
+
+        When a rack of targets is lost, hundreds of reports come, and hardly a request is part of
+        two exits.  Rebuilding the list for each of them would take seconds.
+        """
+        return any(
+            len(self._exits_by_request.get(run.fingerprint, ())) >= EXITS_TO_SUSPECT for run in runs
+        )
+
+    def _find_start(self, command: NoteTargetEnd) -> int:
+        """Return the start that identifies the exit of a target that keeps its name."""
+        for target_exit in self._exits.values():
+            is_near = abs(target_exit.at - command.at) < SAME_EXIT_SECONDS
+            if target_exit.target == command.target and is_near:
+                return target_exit.start
+        return -round(1_000 * command.at)
+
+    def _release(self, fingerprints: Collection[str]) -> None:
+        """Remove some requests from all exits."""
+        released = [
+            replace(
+                target_exit,
+                runs=tuple(run for run in target_exit.runs if run.fingerprint not in fingerprints),
+            )
+            for target_exit in self._exits.values()
+        ]
+        self._replace_exits([target_exit for target_exit in released if target_exit.runs])
+
+    def _update_list(self) -> None:
+        newer = self._make_list(self.revision + 1)
+        if replace(newer, revision=self.revision) != self._list:
+            self._list = newer
+
+    def _make_list(self, revision: int) -> QuarantineList:
+        """Build the list from the exits that count."""
+        exits_by_request = self._find_candidates()
+        causes = attribute_exits(exits_by_request)
+        held = tuple(_quarantine(name, causes[name]) for name in sorted(causes))
+        others = {name: exits for name, exits in exits_by_request.items() if name not in causes}
+        suspects = list_suspects(others, MAX_SUSPECTS)
+        return QuarantineList(revision=revision, held=held, suspects=suspects)
+
+    def _find_candidates(self) -> dict[str, ExitsByIdentity]:
+        """Return the requests that are part of several exits, each with its exits."""
+        return {
+            name: {identity: self._exits[identity] for identity in sorted(identities)}
+            for name, identities in self._exits_by_request.items()
+            if len(identities) >= EXITS_TO_SUSPECT
+        }
+
+
+def _quarantine(fingerprint: str, exits: tuple[TargetExit, ...]) -> HeldRequest:
+    """Return a quarantined request; its release is when too few of its exits count."""
+    times = sorted((target_exit.at for target_exit in exits), reverse=True)
+    return HeldRequest(
+        fingerprint=fingerprint,
+        ends=len(exits),
+        until=times[ENDS_TO_HOLD - 1] + COUNTED_SECONDS,
+    )
+
+
+def _keep_shortest(runs: tuple[BrokenRun, ...]) -> tuple[BrokenRun, ...]:
+    """Return the shortest run of each request, limited to the number that is stored."""
+    shortest: dict[str, BrokenRun] = {}
+    for run in runs:
+        known = shortest.get(run.fingerprint)
+        if known is None or run.seconds < known.seconds:
+            shortest[run.fingerprint] = run
+    ordered = sorted(shortest.values(), key=lambda run: (run.seconds, run.fingerprint))
+    return tuple(ordered[:MAX_RUNS])
--- /dev/null
+++ b/packages/damsonlane/src/damsonlane/routing/_partition.py
@@ -0,0 +1,101 @@
+"""Partition of the engines of a service: some for long prompts, the others for the rest."""
+
+import hashlib
+from collections.abc import Sequence
+from dataclasses import dataclass
+from typing import Final
+
+#: Tokens at and above which a prompt counts as long.  An engine processes about as many prompt
+#: tokens between two output tokens of the other streams; a longer prompt stalls those streams
+#: several times, for longer than callers accept.
+LONG_PROMPT_TOKENS: Final = 2_000
+#: Share of the tokens that is assumed to be in long prompts before any was recorded.
+INITIAL_LONG_SHARE: Final = 0.85
+#: Weight of this initial assumption, in tokens: that of a few requests, so that a service whose
+#: prompts are all long or all short is soon recognised.
+INITIAL_TOKENS: Final = 10_000.0
+#: Share of the tokens below which a class of prompts gets no engines of its own.
+MIN_SHARE: Final = 0.03
+#: Tokens after which a recorded prompt counts half: longer than a burst of one class of requests.
+HALF_LIFE_TOKENS: Final = 200_000.0
+
+
+@dataclass(frozen=True, kw_only=True)
+class Place:
+    """An engine and its data centre."""
+
+    #: Name of the engine.
+    target: str
+    #: Its data centre.
+    data_centre: str
+    #: Its start.
+    start: int = 0
+
+
+class PromptSides:
+    """Partitions the engines of one service by the share of tokens in long prompts.
+
+    All entries use the same order of engines and have about the same traffic, so their partitions
+    differ in one engine at most.
+    """
+
+    def __init__(self) -> None:
+        self._long = INITIAL_LONG_SHARE * INITIAL_TOKENS
+        self._all = INITIAL_TOKENS
+        #: The engines of the last call, and their order.
+        self._engines: Sequence[Place] = ()
+        self._interleaved: Sequence[Place] = ()
+
+    def note(self, tokens: int) -> None:
+        """Record the prompt of a request.
+
+        Args:
+            tokens: length of the prompt.
+        """
+        decay = 0.5 ** (tokens / HALF_LIFE_TOKENS)
+        self._all = self._all * decay + tokens
+        self._long = self._long * decay + (tokens if _is_long(tokens) else 0)
+
+    def find_side(self, tokens: int, places: tuple[Place, ...]) -> frozenset[str]:
+        """Return the engines for a prompt.
+
+        Args:
+            tokens: length of the prompt; 0 if unknown.
+            places: all engines of the service.
+
+        Returns:
+            Names of the engines; all of them if the length is unknown or other prompts are rare.
+        """
+        long_share = self._long / self._all
+        other_share = 1.0 - long_share if _is_long(tokens) else long_share
+        if len(places) < 2 or tokens <= 0 or other_share < MIN_SHARE:
+            return frozenset(place.target for place in places)
+        count = round(long_share * len(places))
+        count = min(len(places) - 1, max(1, count))
+        if places != self._engines:
+            self._engines, self._interleaved = places, _interleave(places)
+        interleaved = self._interleaved
+        chosen = interleaved[:count] if _is_long(tokens) else interleaved[count:]
+        return frozenset(place.target for place in chosen)
+
+
+def _is_long(tokens: int) -> bool:
+    """Return whether a prompt counts as long."""
+    return tokens >= LONG_PROMPT_TOKENS
+
+
+def _interleave(places: Sequence[Place]) -> list[Place]:
+    """Return the engines in an order that alternates between data centres."""
+    by_centre: dict[str, list[Place]] = {}
+    for place in sorted(places, key=lambda place: _hash(place.target)):
+        by_centre.setdefault(place.data_centre, []).append(place)
+    positions = {
+        place.target: (position, _hash(place.data_centre))
+        for engines in by_centre.values()
+        for position, place in enumerate(engines)
+    }
+    return sorted(places, key=lambda place: positions[place.target])
+
+
+def _hash(text: str) -> bytes:
+    return hashlib.blake2b(text.encode(), digest_size=8).digest()
--- a/packages/damsonlaned/src/damsonlaned/quarantine/__init__.py
+++ b/packages/damsonlaned/src/damsonlaned/quarantine/__init__.py
@@ -1,13 +1,13 @@
-"""Keeping requests that end targets from them, at an entry of either kind.
+"""Quarantine of requests that crash targets, at an entry of either kind.
 
-What enters are targets that ended, with the requests that broke off there, and the list that
-control holds; what leaves is whether a request may go to targets.
+Reports exits of targets with the requests that were interrupted there to control, and decides by
+the list of control whether a request may be sent to targets.
 """
 
+from damsonlaned.quarantine._client import QuarantineClient
 from damsonlaned.quarantine._known import KnownQuarantine
-from damsonlaned.quarantine._look import LOOK_AGAIN_SECONDS, LostTarget, refuses_connections
+from damsonlaned.quarantine._probe import LOOK_AGAIN_SECONDS, LostTarget, refuses_connections
 from damsonlaned.quarantine._quarantine import Quarantine, Report, find_retry_seconds
-from damsonlaned.quarantine._submit import QuarantineClient
 
 __all__ = [
     "LOOK_AGAIN_SECONDS",
