--- a/packages/damsonlaned/src/damsonlaned/gateway/_limit_reports.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_limit_reports.py
@@ -1,4 +1,4 @@
-"""Telling control which targets named rate limits, so that all boxes hear of it."""
+"""Reports to control which targets announced rate limits, for control to notify all boxes."""
 
 import asyncio
 import logging
@@ -13,20 +13,20 @@
 
 _LOG: Final = logging.getLogger(__name__)
 
-#: Seconds for which what is new is gathered into one call.
-GATHER_SECONDS: Final = 0.1
-#: Seconds for which telling control may take, over all replicas.
-TELL_SECONDS: Final = 2.0
-#: Seconds between attempts while control can't be reached.
-PAUSE_SECONDS: Final = 0.5
+#: Seconds for which changes are collected into one call.
+BATCH_SECONDS: Final = 0.1
+#: Timeout of one report in seconds, over all control replicas.
+REPORT_TIMEOUT_SECONDS: Final = 2.0
+#: Seconds between attempts while control is unreachable.
+RETRY_SECONDS: Final = 0.5
 
 
 class LimitReports:
-    """Tells control, for the services that this entry owns, what targets say of their limits.
+    """Reports to control the rate limits of targets whose services this entry owns.
 
     Args:
-        view: what targets said, to whichever box.
-        client: reaches the leader.
+        view: the announced rate limits, whichever box received them.
+        client: calls the leader of control.
     """
 
     def __init__(self, view: FleetView, client: ControlClient) -> None:
@@ -34,33 +34,35 @@
         self._client: Final = client
         self._waiting: dict[TargetStart, RateWord] = {}
         self._task: asyncio.Task[None] | None = None
-        view.limits.on_news(self._note)
+        view.limits.on_update(self._enqueue)
 
     async def stop(self) -> None:
-        """Tell control no more."""
+        """Stop reporting."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
-    def _note(self, word: RateWord) -> None:
-        record = self._view.find_target(word.named.target)
+    def _enqueue(self, report: RateWord) -> None:
+        record = self._view.find_target(report.named.target)
         if record is None or not self._view.limits.is_owned(record.service):
             return
-        self._waiting[word.named] = word
+        self._waiting[report.named] = report
         if self._task is None or self._task.done():
-            self._task = start_task(self._tell(), "telling control of rate limits")
+            self._task = start_task(self._send_reports(), "reporting rate limits to control")
 
-    async def _tell(self) -> None:
+    async def _send_reports(self) -> None:
         while self._waiting:
-            await asyncio.sleep(GATHER_SECONDS)
-            words = tuple(self._waiting.values())
+            await asyncio.sleep(BATCH_SECONDS)
+            reports = tuple(self._waiting.values())
             try:
-                await self._client.ask_permits(PermitRequest(words=words), TELL_SECONDS)
+                await self._client.ask_permits(PermitRequest(words=reports), REPORT_TIMEOUT_SECONDS)
             except UnavailableError as error:
-                _LOG.info("rate limits not told", extra={"fault": str(error)})
-                await asyncio.sleep(PAUSE_SECONDS)
+                _LOG.info("rate limits not reported to control", extra={"fault": str(error)})
+                await asyncio.sleep(RETRY_SECONDS)
                 continue
-            told = {word.named: word for word in words}
+            sent = {report.named: report for report in reports}
             self._waiting = {
-                named: word for named, word in self._waiting.items() if told.get(named) is not word
+                incarnation: report
+                for incarnation, report in self._waiting.items()
+                if sent.get(incarnation) is not report
             }
--- a/packages/damsonlaned/src/damsonlaned/gateway/_order_receivers.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_order_receivers.py
@@ -1,4 +1,4 @@
-"""The entries that order from the owner of a pool, and how it answers them."""
+"""The entries that order from the owner of a pool, with the receivers of their results."""
 
 from collections.abc import Sequence
 from typing import Protocol
@@ -7,43 +7,43 @@
 
 
 class OrderReceiver(Protocol):
-    """Takes back to an entry what became of its orders."""
+    """Receives the outcomes of one entry's orders."""
 
-    def take(self, results: Sequence[PieceResult]) -> None:
-        """Take results."""
+    def receive(self, results: Sequence[PieceResult]) -> None:
+        """Receive results."""
 
-    def take_read(self, numbers: Sequence[int]) -> None:
-        """Take the numbers of orders whose inputs were read."""
+    def receive_reads(self, numbers: Sequence[int]) -> None:
+        """Receive the numbers of orders whose inputs were read."""
 
 
 class OrderReceivers:
-    """Receivers of all senders whose orders an owner takes."""
+    """The receivers of all senders that are connected to an owner."""
 
     def __init__(self) -> None:
         self._receivers: dict[str, OrderReceiver] = {}
 
     def attach(self, sender: str, receiver: OrderReceiver) -> None:
-        """Answer a sender by a receiver from now on."""
+        """Register the receiver of a sender."""
         self._receivers[sender] = receiver
 
     def detach(self, sender: str) -> None:
-        """Forget a sender that is gone."""
+        """Unregister a sender that disconnected."""
         self._receivers.pop(sender, None)
 
-    def knows(self, sender: str) -> bool:
-        """Tell whether a sender can be answered."""
+    def is_attached(self, sender: str) -> bool:
+        """Return whether a sender is registered."""
         return sender in self._receivers
 
-    def give(self, sender: str, result: PieceResult) -> None:
-        """Give a result to a sender that is known."""
-        self._receivers[sender].take((result,))
+    def deliver(self, sender: str, result: PieceResult) -> None:
+        """Deliver a result to a registered sender."""
+        self._receivers[sender].receive((result,))
 
-    def tell_read(self, pieces: Sequence[WaitingPiece]) -> None:
-        """Tell the senders whose inputs were read, so that they give them up."""
+    def notify_read(self, pieces: Sequence[WaitingPiece]) -> None:
+        """Notify senders that inputs were read, so that they can free them."""
         by_sender: dict[str, list[int]] = {}
         for piece in pieces:
             if piece.order.inputs:
                 by_sender.setdefault(piece.sender, []).append(piece.order.number)
         for sender, numbers in by_sender.items():
             if sender in self._receivers:
-                self._receivers[sender].take_read(numbers)
+                self._receivers[sender].receive_reads(numbers)
--- a/packages/damsonlaned/src/damsonlaned/gateway/_owner_choice.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_owner_choice.py
@@ -1,4 +1,4 @@
-"""Which entry owns a pool, as this entry chooses it."""
+"""Chooses the entry that owns a pool."""
 
 import asyncio
 from dataclasses import dataclass
@@ -8,26 +8,26 @@
 from damsonlaned.gateway._view import FleetView
 
 #: Seconds for which an owner that failed is passed over: longer than control lists a
-#: box that fell silent (6 s), so that one without power is not asked again meanwhile.
+#: silent box (6 s), so that a box without power is not chosen again before it is unlisted.
 SUSPECT_SECONDS: Final = 7.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class _Suspicion:
-    """An owner whose stream was lost."""
+    """The suspicion that an owner whose stream was lost has failed."""
 
-    #: Until when it is passed over, by the loop's clock.
+    #: End of the suspicion, by the loop's clock.
     until: float
-    #: Its incarnation at that time; another one is not suspected.
+    #: Incarnation of the owner that is suspected; a later one is not.
     incarnation: str
 
 
 class OwnerChoice:
-    """Chooses among the entries that control lists, but for owners that failed lately.
+    """Chooses among the entries that control lists, except owners that failed recently.
 
     Args:
         view: lists the entries.
-        own_address: internal address of this entry, which owns pools where no
+        own_address: internal address of this entry, which owns all pools if no
             entry is listed.
     """
 
@@ -35,30 +35,30 @@
         self._view: Final = view
         self._own_address: Final = own_address
         self._suspects: dict[str, _Suspicion] = {}
-        #: Owners by control's list.  They are asked for with each look at a limited target, and
-        #: choosing among hundreds of entries takes a part of a millisecond.
+        #: Cache of the owners by control's list, which are looked up on each check of a
+        #: rate-limited target: hashing hundreds of entries takes a fraction of a millisecond.
         self._listed: dict[str, str] = {}
         view.on_entries(self._listed.clear)
 
     def find_owner(self, service: str, avoid: str = "") -> str:
-        """Return the address of the entry that owns a pool, or that would without another one.
+        """Return the address of the entry that owns a pool.
 
         Args:
             service: the service.
-            avoid: address of an entry that is passed over, or an empty string.
+            avoid: address of an entry that is not chosen, or an empty string.
         """
         now = asyncio.get_running_loop().time()
-        # An entry that control does not list, because it stops or has just started, owns
+        # An entry that control does not list, because it is stopping or has just started, owns
         # nothing: two owners of a pool would send their calls to the same targets.
         suspects = {address for address in self._suspects if self._is_suspect(address, now)}
         owner = choose_owner(service, self._view.entries, suspects | {avoid})
         return owner.address if owner is not None else self._own_address
 
     def is_listed_owner(self, service: str) -> bool:
-        """Tell whether this entry owns a pool for all that follow control's list.
+        """Return whether this entry owns a pool by control's list, ignoring suspicions.
 
-        One that takes another's place since it can't reach it is not told from the owner by
-        this entry alone: both may serve then.
+        An entry that replaces an owner which it can't reach is not the listed owner. It can't
+        know by itself whether the owner still serves others, so both may serve at once.
         """
         if service not in self._listed:
             owner = choose_owner(service, self._view.entries)
@@ -66,17 +66,17 @@
         return self._listed[service] == self._own_address
 
     def suspect(self, address: str) -> None:
-        """Pass over for a while an owner whose stream was lost."""
+        """Pass over an owner whose stream was lost, for SUSPECT_SECONDS."""
         now = asyncio.get_running_loop().time()
         self._suspects[address] = _Suspicion(
             until=now + SUSPECT_SECONDS, incarnation=self._find_incarnation(address)
         )
 
     def _is_suspect(self, address: str, now: float) -> bool:
-        """Tell whether an owner is passed over.
+        """Return whether an owner is passed over.
 
-        One that has started again is not: entries that had no stream to it would
-        choose it already, and two owners of a pool hold each other's calls up.
+        An owner that has restarted is not: entries that had no stream to it choose it
+        already, and two owners of a pool delay each other's calls.
         """
         suspicion = self._suspects.get(address)
         if suspicion is None or suspicion.until <= now:
--- a/packages/damsonlaned/src/damsonlaned/gateway/_owner_link.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_owner_link.py
@@ -1,4 +1,4 @@
-"""The stream from one entry to the owner of pools at another."""
+"""The stream from one entry to the owner of pools at another entry."""
 
 import asyncio
 import ssl
@@ -13,73 +13,73 @@
 from damsonlane_rpc import CALL_FAULTS, POOL, PoolOrders, PoolResults, open_channel
 from damsonlaned.tasks import start_task
 
-#: Seconds without word from an owner, while results are due, after which its
-#: orders go to another one.
+#: Seconds without a message from an owner, while results are awaited, after which its
+#: orders go to another owner.
 SILENCE_SECONDS: Final = 0.8
 
-#: Why a stream is lost that nothing broke.
-_ENDED: Final = "the stream ended"
+#: Fault of a stream that ended without an error.
+_STREAM_ENDED: Final = "the stream ended"
 
-#: Takes results that came.
-Take = Callable[[Sequence[PieceResult]], None]
-#: Takes the numbers of orders whose inputs were read.
-TakeRead = Callable[[Sequence[int]], None]
-#: Takes engines for prompts.
-TakePlacements = Callable[[Sequence[Placement]], None]
-#: Takes permits.
-TakePermits = Callable[[Sequence[Permit]], None]
-#: Takes the owner's address, the numbers of the orders that are due, and why it is lost.
-Lose = Callable[[str, Sequence[int], str], None]
+#: Called with results.
+OnResults = Callable[[Sequence[PieceResult]], None]
+#: Called with the numbers of orders whose inputs were read.
+OnReads = Callable[[Sequence[int]], None]
+#: Called with placements of prompts.
+OnPlacements = Callable[[Sequence[Placement]], None]
+#: Called with permits.
+OnPermits = Callable[[Sequence[Permit]], None]
+#: Called with the owner's address, the numbers of the awaited orders, and the fault.
+OnLost = Callable[[str, Sequence[int], str], None]
 
 
 class OwnerLink:
-    """A stream to one owner, open until it breaks or the owner falls silent.
+    """A stream to one owner, open until it breaks or the owner stops responding.
 
     Args:
         owner: internal address of the owner.
         context: TLS context towards other boxes, or None.
-        take: called with results.
-        take_read: called with the numbers of orders whose inputs were read.
-        take_placements: called with engines for prompts.
-        take_permits: called with permits.
-        lose: called once the stream has ended.
+        on_results: called with results.
+        on_reads: called with the numbers of orders whose inputs were read.
+        on_placements: called with placements of prompts.
+        on_permits: called with permits.
+        on_lost: called once the stream has ended.
     """
 
     def __init__(
         self,
         owner: str,
         context: ssl.SSLContext | None,
-        take: Take,
-        take_read: TakeRead,
-        take_placements: TakePlacements,
-        take_permits: TakePermits,
-        lose: Lose,
+        on_results: OnResults,
+        on_reads: OnReads,
+        on_placements: OnPlacements,
+        on_permits: OnPermits,
+        on_lost: OnLost,
     ) -> None:
         self._owner: Final = owner
         self._context: Final = context
-        self._take: Final = take
-        self._take_read: Final = take_read
-        self._take_placements: Final = take_placements
-        self._take_permits: Final = take_permits
-        self._lose: Final = lose
+        self._on_results: Final = on_results
+        self._on_reads: Final = on_reads
+        self._on_placements: Final = on_placements
+        self._on_permits: Final = on_permits
+        self._on_lost: Final = on_lost
         self._outgoing: list[PoolOrders] = []
         self._has_more: Final = asyncio.Event()
-        self._due: set[int] = set()
-        self._heard_at = asyncio.get_running_loop().time()
+        self._awaited: set[int] = set()
+        self._received_at = asyncio.get_running_loop().time()
         self._task: Final = start_task(self._run(), "stream to a pool owner")
 
     def send(self, message: PoolOrders) -> None:
         """Queue a message."""
-        if not self._due:
-            self._heard_at = asyncio.get_running_loop().time()
-        self._due.update(order.number for order in message.orders)
+        if not self._awaited:
+            self._received_at = asyncio.get_running_loop().time()
+        self._awaited.update(order.number for order in message.orders)
         self._outgoing.append(message)
         self._has_more.set()
 
     def withdraw(self, service: str, number: int) -> None:
-        """Withdraw an order if it was placed here."""
-        if number in self._due:
-            self._due.discard(number)
+        """Withdraw an order if it was placed with this owner."""
+        if number in self._awaited:
+            self._awaited.discard(number)
             self.send(PoolOrders(service=service, withdrawn=(number,)))
 
     async def stop(self) -> None:
@@ -89,7 +89,7 @@
 
     async def _run(self) -> None:
         channel = open_channel(self._owner, self._context)
-        fault = _ENDED
+        fault = _STREAM_ENDED
         try:
             async with POOL.stream(channel).open() as stream:
                 await stream.send_request()
@@ -98,18 +98,18 @@
             fault = str(error) or type(error).__name__
         finally:
             channel.close()
-            self._lose(self._owner, tuple(self._due), fault)
+            self._on_lost(self._owner, tuple(self._awaited), fault)
 
     async def _exchange(self, stream: Stream[PoolOrders, PoolResults]) -> None:
-        """Send and receive until one of them ends.
+        """Send and receive until either ends.
 
-        A fault leaves by raising: at a quiet end the library waits for an
-        answer, which a frozen owner never gives.
+        Faults are raised: on a normal exit grpclib waits for an answer of the peer, which
+        a frozen owner never sends.
         """
         tasks = [
             asyncio.create_task(self._receive(stream)),
             asyncio.create_task(self._transmit(stream)),
-            asyncio.create_task(self._watch()),
+            asyncio.create_task(self._watch_for_silence()),
         ]
         try:
             done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
@@ -122,12 +122,12 @@
 
     async def _receive(self, stream: Stream[PoolOrders, PoolResults]) -> None:
         while (message := await stream.recv_message()) is not None:
-            self._heard_at = asyncio.get_running_loop().time()
-            self._due.difference_update(result.number for result in message.results)
-            self._take_read(message.read)
-            self._take_placements(message.placements)
-            self._take_permits(message.permits)
-            self._take(message.results)
+            self._received_at = asyncio.get_running_loop().time()
+            self._awaited.difference_update(result.number for result in message.results)
+            self._on_reads(message.read)
+            self._on_placements(message.placements)
+            self._on_permits(message.permits)
+            self._on_results(message.results)
 
     async def _transmit(self, stream: Stream[PoolOrders, PoolResults]) -> None:
         while True:
@@ -137,10 +137,10 @@
             for message in outgoing:
                 await stream.send_message(message)
 
-    async def _watch(self) -> None:
-        """End when the owner falls silent while results are due."""
+    async def _watch_for_silence(self) -> None:
+        """Raise TimeoutError when the owner sends nothing while results are awaited."""
         while True:
             await asyncio.sleep(SILENCE_SECONDS / 4)
             now = asyncio.get_running_loop().time()
-            if self._due and now - self._heard_at > SILENCE_SECONDS:
-                raise TimeoutError("the owner fell silent")
+            if self._awaited and now - self._received_at > SILENCE_SECONDS:
+                raise TimeoutError("the owner sent nothing while results were awaited")
--- a/packages/damsonlaned/src/damsonlaned/gateway/_permit_client.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_permit_client.py
@@ -1,4 +1,4 @@
-"""Asking the owner of a service for a permit to send a request to a limited target."""
+"""Requests permits from the owner of a service to send requests to rate-limited targets."""
 
 import asyncio
 import itertools
@@ -13,28 +13,28 @@
 
 _LOG: Final = logging.getLogger(__name__)
 
-#: Seconds for which an owner's answer is waited for: boxes are a few milliseconds apart.
+#: Timeout for an owner's answer, in seconds: boxes are a few milliseconds apart.
 ANSWER_SECONDS: Final = 0.04
-#: Seconds for which an owner that did not answer is not asked again.
-REST_SECONDS: Final = 1.0
+#: Seconds for which an owner that timed out is not asked again.
+OWNER_BACKOFF_SECONDS: Final = 1.0
 
 
 class PermitOwners(Protocol):
     """Reaches the owners of a service's targets."""
 
     def find_owners(self, service: str) -> tuple[str, ...]:
-        """Return the addresses of the owner and of the box that is asked without it."""
+        """Return the address of the owner, followed by that of its fallback, if any."""
 
     def send(self, owner: str, message: PoolOrders) -> None:
-        """Send a box a message."""
+        """Send a message to a box."""
 
 
 class PermitClient:
-    """Gets permits, and tells owners what targets named.
+    """Requests permits, and reports to owners the rate limits that targets announced here.
 
     Args:
-        view: knows the limits, and issues the permits of this box.
-        owners: reaches the owners.
+        view: holds the rate limits, and issues the permits of this box.
+        owners: finds the owners and sends them messages.
         address: internal address of this entry.
     """
 
@@ -44,8 +44,8 @@
         self._address: Final = address
         self._numbers: Final = itertools.count(1)
         self._pending: dict[int, asyncio.Future[Permit]] = {}
-        self._silent_until: dict[str, float] = {}
-        view.limits.on_heard(self._tell_owner)
+        self._skipped_until: dict[str, float] = {}
+        view.limits.on_received(self._report_to_owner)
 
     async def ask(
         self,
@@ -55,13 +55,13 @@
         is_last: bool,
         is_beginning: bool = False,
     ) -> Permit | None:
-        """Return the permit for one request, or None where no owner answers.
+        """Return the answer to a permit order for one request, or None if no owner answers.
 
         Args:
             service: the service.
-            targets: those that could get the request, the best one first.
-            is_last: whether the caller is refused without a permit.
-            is_beginning: whether the request is sent only once its stages are made.
+            targets: candidates for the request, the best one first.
+            is_last: whether the request is refused if it gets no permit.
+            is_beginning: whether the request still has to run its stages before it is sent.
         """
         order = PermitOrder(
             number=next(self._numbers),
@@ -77,18 +77,18 @@
         return None
 
     def take(self, permits: Sequence[Permit]) -> None:
-        """Take answers of an owner."""
+        """Receive the answers of an owner."""
         for permit in permits:
             pending = self._pending.pop(permit.number, None)
             if pending is not None and not pending.done():
                 pending.set_result(permit)
 
     async def _ask(self, owner: str, service: str, order: PermitOrder) -> Permit | None:
-        """Return the answer of one owner, or None without one in time."""
+        """Return the answer of one owner, or None on a timeout."""
         if owner == self._address:
             return self._view.limits.issue(service, (order,))[0]
         loop = asyncio.get_running_loop()
-        if self._silent_until.get(owner, 0.0) > loop.time():
+        if self._skipped_until.get(owner, 0.0) > loop.time():
             return None
         answer: asyncio.Future[Permit] = loop.create_future()
         self._pending[order.number] = answer
@@ -97,17 +97,17 @@
             async with asyncio.timeout(ANSWER_SECONDS):
                 return await answer
         except TimeoutError:
-            self._silent_until[owner] = loop.time() + REST_SECONDS
+            self._skipped_until[owner] = loop.time() + OWNER_BACKOFF_SECONDS
             _LOG.warning("no permit in time", extra={"owner": owner, "service": service})
             return None
         finally:
             self._pending.pop(order.number, None)
 
-    def _tell_owner(self, word: RateWord) -> None:
-        """Tell the owner what a target said to this box, since it issues the permits."""
-        record = self._view.find_target(word.named.target)
+    def _report_to_owner(self, report: RateWord) -> None:
+        """Forward a rate limit that this box received to the owner, which issues the permits."""
+        record = self._view.find_target(report.named.target)
         if record is None:
             return
         owner = self._owners.find_owners(record.service)[0]
         if owner != self._address:
-            self._owners.send(owner, PoolOrders(service=record.service, words=(word,)))
+            self._owners.send(owner, PoolOrders(service=record.service, words=(report,)))
--- a/packages/damsonlaned/src/damsonlaned/gateway/_piece_answers.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_piece_answers.py
@@ -1,4 +1,4 @@
-"""Telling entries what became of the pieces that they ordered from the owner of a pool."""
+"""Answers to the entries that ordered pieces from the owner of a pool."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -11,13 +11,13 @@
 
 
 class PieceAnswers:
-    """Answers orders and counts how.
+    """Answers orders and counts the answers by outcome.
 
     Args:
-        receivers: the entries.
-        waits: forecasts that each answer carries.
-        metrics: counts what becomes of pieces.
-        free: gives up results that no entry takes any more.
+        receivers: deliver the answers to entries.
+        waits: estimates the queueing time that each answer carries.
+        metrics: counts pieces by outcome.
+        free: frees results whose entry disconnected.
     """
 
     def __init__(
@@ -35,9 +35,9 @@
     def answer(
         self, piece: WaitingPiece, *, handle: str = "", fault: PieceFault | None = None
     ) -> None:
-        """Tell an entry what became of a piece; give its result up if the entry is gone."""
-        self._metrics.note_answer(fault)
-        if self._receivers.knows(piece.sender):
+        """Answer the order of a piece; free its result if the entry disconnected."""
+        self._metrics.record_outcome(fault)
+        if self._receivers.is_attached(piece.sender):
             now = asyncio.get_running_loop().time()
             result = PieceResult(
                 number=piece.order.number,
@@ -45,14 +45,14 @@
                 fault=fault,
                 wait_seconds=round(self._waits.seconds(piece.order, now), 3),
             )
-            self._receivers.give(piece.sender, result)
+            self._receivers.deliver(piece.sender, result)
         elif handle:
             self._free((handle,))
 
-    def give_back(self, pieces: Sequence[WaitingPiece]) -> None:
-        """Return pieces that were not begun, so that their entries order them elsewhere."""
-        self._metrics.note_returned(len(pieces))
+    def return_to_senders(self, pieces: Sequence[WaitingPiece]) -> None:
+        """Return unstarted pieces to their entries, which order them from the new owner."""
+        self._metrics.record_returned(len(pieces))
         for piece in pieces:
-            if self._receivers.knows(piece.sender):
+            if self._receivers.is_attached(piece.sender):
                 result = PieceResult(number=piece.order.number, is_returned=True)
-                self._receivers.give(piece.sender, result)
+                self._receivers.deliver(piece.sender, result)
--- a/packages/damsonlaned/src/damsonlaned/gateway/_placement_client.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_placement_client.py
@@ -1,4 +1,4 @@
-"""Asking the owner of a service's engines where to send a prompt."""
+"""Asks the owner of a service's engines where to send a prompt."""
 
 import asyncio
 import itertools
@@ -13,33 +13,33 @@
 
 _LOG: Final = logging.getLogger(__name__)
 
-#: Seconds for which an answer is waited for: boxes are a few milliseconds apart.  Without
-#: one in time the entry chooses by itself, so a dead owner costs a prompt no more.
+#: Timeout for an owner's answer, in seconds: boxes are a few milliseconds apart.  After it the
+#: entry chooses an engine by itself, so an owner that crashed delays a prompt by no more.
 ANSWER_SECONDS: Final = 0.04
-#: Seconds for which an owner that did not answer is not asked again.
-REST_SECONDS: Final = 1.0
-#: Seconds for which what became of prompts is gathered into one message.
-GATHER_SECONDS: Final = 0.1
-#: Name under which this entry asks itself.
+#: Seconds for which an owner that timed out is not asked again.
+OWNER_BACKOFF_SECONDS: Final = 1.0
+#: Seconds for which the outcomes of prompts are collected into one message.
+BATCH_SECONDS: Final = 0.1
+#: Sender name for requests of this entry to its own placer.
 _SELF: Final = "self"
 
 
 class OwnerLinks(Protocol):
-    """Reaches the owner of a service's targets."""
+    """Finds the owner of a service's targets and sends it messages."""
 
     def find_owner(self, service: str) -> str:
         """Return the address of the owner."""
 
     def send(self, owner: str, message: PoolOrders) -> None:
-        """Send it a message."""
+        """Send a message to an owner."""
 
 
 class PlacementClient:
-    """Has prompts placed by the owner of a service, wherever it is.
+    """Has prompts placed by the owner of a service, at this entry or another one.
 
     Args:
-        placers: the services that this entry places prompts of.
-        links: reaches other owners.
+        placers: place the prompts of the services that this entry owns.
+        links: sends messages to other owners.
         address: internal address of this entry.
     """
 
@@ -50,14 +50,14 @@
         self._numbers: Final = itertools.count(1)
         self._pending: dict[int, asyncio.Future[Placement]] = {}
         self._reads: dict[tuple[str, str], list[PromptRead]] = {}
-        self._silent_until: dict[str, float] = {}
+        self._skipped_until: dict[str, float] = {}
 
     async def place(self, service: str, order: PromptOrder) -> "PlacedPrompt | None":
-        """Return where a prompt should go, or None if the entry must choose by itself.
+        """Return the placement of a prompt, or None if the entry must choose by itself.
 
         Args:
             service: the service.
-            order: the prompt; its number is given here.
+            order: the prompt; its number is assigned here.
         """
         owner = self._links.find_owner(service)
         number = next(self._numbers)
@@ -67,36 +67,36 @@
         return PlacedPrompt(self, owner, service, placement)
 
     def take(self, placements: Sequence[Placement]) -> None:
-        """Take answers of an owner."""
+        """Receive the placements of an owner."""
         for placement in placements:
             pending = self._pending.pop(placement.number, None)
             if pending is not None and not pending.done():
                 pending.set_result(placement)
 
-    def note_read(self, owner: str, service: str, read: PromptRead) -> None:
-        """Tell an owner, a little later, what became of a prompt."""
+    def report_read(self, owner: str, service: str, read: PromptRead) -> None:
+        """Report the outcome of a prompt to an owner, batched with others."""
         if owner == self._address:
             placer = self._placers.find(service)
             if placer is not None:
-                placer.note_reads(_SELF, (read,))
+                placer.record_reads(_SELF, (read,))
             return
-        gathered = self._reads.setdefault((owner, service), [])
-        if not gathered:
+        batch = self._reads.setdefault((owner, service), [])
+        if not batch:
             loop = asyncio.get_running_loop()
-            loop.call_later(GATHER_SECONDS, self._send_reads, owner, service)
-        gathered.append(read)
+            loop.call_later(BATCH_SECONDS, self._send_reads, owner, service)
+        batch.append(read)
 
     def _send_reads(self, owner: str, service: str) -> None:
         reads = tuple(self._reads.pop((owner, service), ()))
         self._links.send(owner, PoolOrders(service=service, reads=reads))
 
     async def _ask(self, owner: str, service: str, order: PromptOrder) -> Placement | None:
-        """Return what an owner chose, or None without an answer."""
+        """Return the placement that an owner chose, or None on a timeout."""
         if owner == self._address:
             placer = self._placers.find(service)
             return placer.place(_SELF, (order,))[0] if placer is not None else None
         loop = asyncio.get_running_loop()
-        if self._silent_until.get(owner, 0.0) > loop.time():
+        if self._skipped_until.get(owner, 0.0) > loop.time():
             return None
         answer: asyncio.Future[Placement] = loop.create_future()
         self._pending[order.number] = answer
@@ -105,7 +105,7 @@
             async with asyncio.timeout(ANSWER_SECONDS):
                 return await answer
         except TimeoutError:
-            self._silent_until[owner] = loop.time() + REST_SECONDS
+            self._skipped_until[owner] = loop.time() + OWNER_BACKOFF_SECONDS
             _LOG.warning("prompt not placed in time", extra={"owner": owner, "service": service})
             return None
         finally:
@@ -113,13 +113,13 @@
 
 
 class PlacedPrompt:
-    """A prompt that an owner placed, and what it is told of it.
+    """A prompt that an owner placed, whose outcome is reported back to that owner.
 
     Args:
-        client: reaches the owner.
-        owner: its address.
+        client: reports to the owner.
+        owner: address of the owner.
         service: the service.
-        placement: what it chose.
+        placement: the engine that the owner chose.
     """
 
     def __init__(
@@ -130,17 +130,18 @@
         self._service: Final = service
         self._number: Final = placement.number
         self.target: Final = placement.target
-        #: Name of the engine from which parts of the prompt are taken, or an empty string.
+        #: Name of the engine from which cached prompt segments are copied, or an empty string.
         self.source: Final = placement.source
-        self._is_told = False
+        self._is_reported = False
 
     def note_read(self, seconds: float | None) -> None:
-        """Tell the owner after which time the first event came; None if it never will.
+        """Report the time until the first event to the owner; only the first call has an effect.
 
-        Only the first word counts.
+        Args:
+            seconds: time from sending the prompt to its first event; None if none will come.
         """
-        if self._is_told:
+        if self._is_reported:
             return
-        self._is_told = True
+        self._is_reported = True
         read = PromptRead(number=self._number, seconds=seconds)
-        self._client.note_read(self._owner, self._service, read)
+        self._client.report_read(self._owner, self._service, read)
--- a/packages/damsonlaned/src/damsonlaned/gateway/_placer.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_placer.py
@@ -1,4 +1,4 @@
-"""Placing the prompts of all entries at the engines of one service."""
+"""Places the prompts of all entries at the engines of a service."""
 
 import asyncio
 from collections.abc import Mapping, Sequence
@@ -13,31 +13,33 @@
 
 
 class PromptPlacer:
-    """Places prompts at the engines that control lists.
+    """Places prompts at the engines of one service that control lists as live.
 
     Args:
         service: name of the service.
-        traits: what its engines can do.
-        view: where they stand.
+        properties: cache size and transfer speed of its engines.
+        view: lists the engines.
     """
 
-    def __init__(self, service: str, traits: EngineTraits, view: FleetView) -> None:
+    def __init__(self, service: str, properties: EngineTraits, view: FleetView) -> None:
         self._service: Final = service
         self._view: Final = view
-        pace = traits.token_bytes / traits.link_speed if traits.link_speed else None
-        self._book: Final = EngineBook(traits.cache_tokens, pace)
+        seconds_per_token = (
+            properties.token_bytes / properties.link_speed if properties.link_speed else None
+        )
+        self._book: Final = EngineBook(properties.cache_tokens, seconds_per_token)
         self._sides: Final = PromptSides()
-        self._gate: Final = ColdGate()
+        self._warm_up_gate: Final = ColdGate()
         self._places: tuple[Place, ...] = ()
-        view.on_change(self._follow_engines)
-        self._follow_engines()
+        view.on_change(self._update_engines)
+        self._update_engines()
 
     def place(self, sender: str, orders: Sequence[PromptOrder]) -> tuple[Placement, ...]:
         """Return an engine for each prompt."""
         return tuple(self._place_one(sender, order) for order in orders)
 
-    def note_reads(self, sender: str, reads: Sequence[PromptRead]) -> None:
-        """Take what became of prompts."""
+    def record_reads(self, sender: str, reads: Sequence[PromptRead]) -> None:
+        """Record the outcomes of prompts."""
         now = asyncio.get_running_loop().time()
         for read in reads:
             self._book.note_read(sender, read, now)
@@ -46,32 +48,37 @@
         self._sides.note(order.tokens)
         side = self._sides.find_side(order.tokens, self._places)
         now = asyncio.get_running_loop().time()
-        cold = self._view.list_cold(self._service)
+        warming_up = self._view.list_cold(self._service)
         limited = self._view.list_limited(self._service)
-        shut = [*self._list_shut(cold, now), *self._list_at_rate(limited)]
-        placement = self._book.place(sender, order, side, now, shut, limited)
-        if placement.target in cold:
-            self._gate.note(placement.target, now)
+        excluded = [
+            *self._list_at_warm_up_limit(warming_up, now),
+            *self._list_at_rate_limit(limited),
+        ]
+        placement = self._book.place(sender, order, side, now, excluded, limited)
+        if placement.target in warming_up:
+            self._warm_up_gate.note(placement.target, now)
         if placement.target in limited:
-            # Whoever is given this engine has its permit with it.
+            # The placement includes the permit for this request.
             self._view.limits.take_permit(self._service, limited[placement.target])
         return placement
 
-    def _list_at_rate(self, limited: Mapping[str, TargetStart]) -> list[str]:
-        """Return the engines that have what they named for the moment."""
+    def _list_at_rate_limit(self, limited: Mapping[str, TargetStart]) -> list[str]:
+        """Return the engines that are at their announced rate limit."""
         wait = self._view.limits.wait_seconds
-        return [name for name, named in limited.items() if wait(self._service, named) > 0]
+        return [
+            name for name, incarnation in limited.items() if wait(self._service, incarnation) > 0
+        ]
 
-    def _list_shut(self, cold: Sequence[str], now: float) -> Sequence[str]:
-        """Return the cold engines that have what they bear for the moment."""
-        bound = self._view.find_cold_bound(self._service) if cold else None
+    def _list_at_warm_up_limit(self, warming_up: Sequence[str], now: float) -> Sequence[str]:
+        """Return the engines that are warming up and can serve no further request yet."""
+        bound = self._view.find_cold_bound(self._service) if warming_up else None
         if bound is None:
             return ()
         limit = bound.owner_limit()
-        return [name for name in cold if not self._gate.admits(name, limit, now)]
+        return [name for name in warming_up if not self._warm_up_gate.admits(name, limit, now)]
 
-    def _follow_engines(self) -> None:
-        """Follow the engines that are live."""
+    def _update_engines(self) -> None:
+        """Replace the known engines by those that are live."""
         records = self._view.open_targets_of(self._service)
         self._places = tuple(
             Place(target=record.target, data_centre=record.data_centre, start=record.start)
@@ -79,14 +86,14 @@
             if record.standing == "live"
         )
         self._book.update(self._places)
-        self._gate.forget_others({place.target for place in self._places})
+        self._warm_up_gate.forget_others({place.target for place in self._places})
 
 
 class PromptPlacers:
-    """Placers of all services that this entry is asked for, made when first asked.
+    """The placers of all services that this entry owns, created on first use.
 
     Args:
-        view: where services and targets stand.
+        view: lists services and targets.
     """
 
     def __init__(self, view: FleetView) -> None:
--- a/packages/damsonlaned/src/damsonlaned/gateway/_pool_client.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_pool_client.py
@@ -1,4 +1,4 @@
-"""Ordering pieces from the owner of a pool, wherever it is."""
+"""Orders pieces from the owner of a pool, at this entry or another one."""
 
 import asyncio
 import itertools
@@ -12,36 +12,36 @@
 from damsonlane.pools import PieceOrder, PieceResult
 from damsonlane.ratelimit import SECOND_SHARE, RateWord
 from damsonlane_rpc import PoolOrders
-from damsonlaned.gateway._heard_waits import HeardWaits
 from damsonlaned.gateway._owner_choice import OwnerChoice
-from damsonlaned.gateway._owner_link import OwnerLink, TakePermits, TakePlacements
+from damsonlaned.gateway._owner_link import OnPermits, OnPlacements, OwnerLink
 from damsonlaned.gateway._pool_owners import PoolOwners
+from damsonlaned.gateway._reported_waits import ReportedWaits
 from damsonlaned.gateway._view import FleetView
 
 _LOG: Final = logging.getLogger(__name__)
 
-#: Withdrawn orders that are remembered, so that a result that comes all the same is freed.
-MOST_WITHDRAWN: Final = 4_096
-#: Seconds after which all entries have heard of a change in their list: control tells
-#: them at once, but for one that is just moving to another replica.
-HEARD_LATER_SECONDS: Final = 0.3
-#: Name under which this entry orders from itself.
+#: Withdrawn orders that are remembered, so that a result that still arrives is freed.
+MAX_WITHDRAWN: Final = 4_096
+#: Seconds within which every entry receives a change of the list of entries: control sends
+#: it immediately, except to an entry that is just switching to another replica.
+PROPAGATION_SECONDS: Final = 0.3
+#: Sender name for orders of this entry to its own pools.
 _SELF: Final = "self"
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Pending:
-    """An order whose result is due."""
+class _PendingOrder:
+    """An order whose result is awaited."""
 
-    #: Service whose targets make the piece.
+    #: Service whose targets compute the piece.
     service: str
-    #: The order as it was placed first, with its number.
+    #: The order as first placed, with its number.
     order: PieceOrder
-    #: When that was, by the loop's clock.
+    #: When it was first placed, by the loop's clock.
     placed_at: float
-    #: Takes the result.
+    #: Resolved with the result.
     future: "asyncio.Future[PieceResult]"
-    #: Called when a target has read the inputs.
+    #: Called once a target has read the inputs.
     on_read: Callable[[], None]
 
 
@@ -49,8 +49,8 @@
     """Orders pieces for the requests of this entry.
 
     All entries choose the same owner for a pool, by rendezvous hashing over
-    the entries that control lists.  An owner that dies or falls silent costs a
-    second order of what it had, and nothing else.
+    the entries that control lists. If an owner crashes or falls silent, its
+    outstanding orders are placed again with another owner.
 
     Args:
         view: lists the entries.
@@ -72,16 +72,16 @@
         self._address: Final = address
         self._context: Final = context
         self._numbers: Final = itertools.count(1)
-        self._pending: dict[int, _Pending] = {}
+        self._pending: dict[int, _PendingOrder] = {}
         self._links: dict[str, OwnerLink] = {}
         self._withdrawn: dict[int, str] = {}
-        self._waits: Final = HeardWaits()
-        #: Takes engines for prompts, which come by the same streams.
-        self.take_placements: TakePlacements = lambda _: None
-        #: Takes permits, which come by the same streams.
-        self.take_permits: TakePermits = lambda _: None
+        self._waits: Final = ReportedWaits()
+        #: Called with the placements that arrive on the same streams.
+        self.take_placements: OnPlacements = lambda _: None
+        #: Called with the permits that arrive on the same streams.
+        self.take_permits: OnPermits = lambda _: None
         view.limits.find_share = self._find_share
-        view.on_entries(self._follow_entries)
+        view.on_entries(self._update_owners)
 
     def order(
         self,
@@ -89,38 +89,38 @@
         orders: Sequence[PieceOrder],
         on_read: Callable[[int], None] = lambda _: None,
     ) -> "list[asyncio.Future[PieceResult]]":
-        """Order pieces; the number of each order is given here.
+        """Order pieces; the number of each order is assigned here.
 
         Args:
-            service: the service whose targets make them.
-            orders: what to make.
+            service: the service whose targets compute them.
+            orders: the pieces to compute.
             on_read: called with the index of a piece once a target has read its inputs,
-                which may be given up then.
+                which may be freed from then on.
 
         Returns:
             A future for each piece, in order.  Cancelling one withdraws its order.
         """
         placed = [
-            self._note_order(service, order, partial(on_read, index))
+            self._register_order(service, order, partial(on_read, index))
             for index, order in enumerate(orders)
         ]
-        self._place(service, placed)
+        self._send_orders(service, placed)
         return [pending.future for pending in placed]
 
     def free(self, service: str, handles: Sequence[str]) -> None:
-        """Give results up."""
+        """Free results."""
         owner = self.find_owner(service)
         if owner == self._address:
             self._owners.get(service).free(handles)
         else:
-            self._link(owner).send(PoolOrders(service=service, freed=tuple(handles)))
+            self._find_link(owner).send(PoolOrders(service=service, freed=tuple(handles)))
 
     def wait_seconds(self, service: str, rank: int) -> float:
-        """Return how long a piece of a rank would wait for its turn in a pool, as last heard."""
+        """Return the remaining seconds of a pool's last reported queueing time for a priority."""
         return self._waits.seconds(service, rank, asyncio.get_running_loop().time())
 
     def has_queue(self, service: str) -> bool:
-        """Tell whether pieces of any rank wait for their turn in a pool, as last heard."""
+        """Return whether pieces of any priority wait in a pool, by the last reports."""
         return self._waits.has_queue(service, asyncio.get_running_loop().time())
 
     async def stop(self) -> None:
@@ -128,13 +128,15 @@
         links = [link.stop() for link in self._links.values()]
         await asyncio.gather(*links, return_exceptions=True)
 
-    def _note_order(self, service: str, order: PieceOrder, on_read: Callable[[], None]) -> _Pending:
-        """Give an order its number and keep it until its result comes."""
+    def _register_order(
+        self, service: str, order: PieceOrder, on_read: Callable[[], None]
+    ) -> _PendingOrder:
+        """Assign a number to an order and keep it until its result arrives."""
         loop = asyncio.get_running_loop()
         number = next(self._numbers)
         future: asyncio.Future[PieceResult] = loop.create_future()
         future.add_done_callback(partial(self._withdraw, number))
-        pending = _Pending(
+        pending = _PendingOrder(
             service=service,
             order=replace(order, number=number),
             placed_at=loop.time(),
@@ -151,46 +153,46 @@
         return self._choice.find_owner(service)
 
     def find_owners(self, service: str) -> tuple[str, ...]:
-        """Return the address of the owner of a service, and of the next one without it."""
+        """Return the address of the owner of a service, followed by that of its fallback."""
         first = self._choice.find_owner(service)
         second = self._choice.find_owner(service, avoid=first)
         return (first,) if second == first else (first, second)
 
     def _find_share(self, service: str) -> float:
-        """Return the part of its targets' rates that this entry issues."""
+        """Return the share of its targets' rates for which this entry issues permits."""
         return 1.0 if self._choice.is_listed_owner(service) else SECOND_SHARE
 
     def send(self, owner: str, message: PoolOrders) -> None:
-        """Send a message to an owner, with the rate limits that its targets named.
+        """Send a message to an owner, with the rate limits that its targets announced.
 
-        An owner that has just begun may not know them, and would send too much there.
+        An owner that has just started may not know them and would exceed them.
         """
-        words = (*message.words, *self._list_words(message.service))
-        self._link(owner).send(replace(message, words=words) if words else message)
+        reports = (*message.words, *self._list_rate_reports(message.service))
+        self._find_link(owner).send(replace(message, words=reports) if reports else message)
 
-    def _list_words(self, service: str) -> list[RateWord]:
+    def _list_rate_reports(self, service: str) -> list[RateWord]:
         limited = self._view.list_limited(service).values()
-        return [word for word in self._view.limits.list_words() if word.named in limited]
+        return [report for report in self._view.limits.list_words() if report.named in limited]
 
-    def _follow_entries(self) -> None:
-        """Hand over the pools that another entry owns now.
+    def _update_owners(self) -> None:
+        """Hand over the pools that another entry now owns.
 
-        It is looked at twice, since other entries hear of it a little later and
-        may order here until then.
+        Checks twice, since other entries receive the new list a little later and may
+        still order here until then.
         """
-        self._hand_over()
-        asyncio.get_running_loop().call_later(HEARD_LATER_SECONDS, self._hand_over)
+        self._hand_over_pools()
+        asyncio.get_running_loop().call_later(PROPAGATION_SECONDS, self._hand_over_pools)
 
-    def _hand_over(self) -> None:
+    def _hand_over_pools(self) -> None:
         for service in self._owners.services():
             if self.find_owner(service) != self._address:
                 self._owners.get(service).hand_over()
 
-    def _place(self, service: str, placed: Sequence[_Pending]) -> None:
-        """Send orders to the owner of their pool, with the time that they have left."""
+    def _send_orders(self, service: str, placed: Sequence[_PendingOrder]) -> None:
+        """Send orders to the owner of their pool, with their remaining times."""
         owner = self.find_owner(service)
         now = asyncio.get_running_loop().time()
-        orders = tuple(_age(pending, now) for pending in placed)
+        orders = tuple(_deduct_elapsed(pending, now) for pending in placed)
         if owner == self._address:
             pool = self._owners.get(service)
             pool.attach(_SELF, self)
@@ -198,28 +200,28 @@
         else:
             self.send(owner, PoolOrders(service=service, orders=orders))
 
-    def _link(self, owner: str) -> OwnerLink:
+    def _find_link(self, owner: str) -> OwnerLink:
         if owner not in self._links:
             self._links[owner] = OwnerLink(
                 owner,
                 self._context,
-                self.take,
-                self.take_read,
+                self.receive,
+                self.receive_reads,
                 lambda placements: self.take_placements(placements),
                 lambda permits: self.take_permits(permits),
                 self.lose_owner,
             )
         return self._links[owner]
 
-    # What links tell.
+    # Callbacks of the links.
 
-    def take(self, results: Sequence[PieceResult]) -> None:
-        """Take results; those that nobody waits for any more are freed."""
+    def receive(self, results: Sequence[PieceResult]) -> None:
+        """Receive results; those of withdrawn orders are freed."""
         for result in results:
             if result.is_returned:
-                self._place_again(result.number)
+                self._send_again(result.number)
                 continue
-            self._note_wait(result)
+            self._record_wait(result)
             pending = self._pending.pop(result.number, None)
             if pending is not None and not pending.future.done():
                 pending.future.set_result(result)
@@ -228,21 +230,21 @@
             if service and result.handle:
                 self.free(service, (result.handle,))
 
-    def _place_again(self, number: int) -> None:
-        """Order elsewhere what an owner returned."""
+    def _send_again(self, number: int) -> None:
+        """Order again a piece that an owner returned."""
         pending = self._pending.get(number)
         if pending is not None:
-            self._place(pending.service, [pending])
+            self._send_orders(pending.service, [pending])
 
-    def take_read(self, numbers: Sequence[int]) -> None:
-        """Take the numbers of orders whose inputs were read."""
+    def receive_reads(self, numbers: Sequence[int]) -> None:
+        """Receive the numbers of orders whose inputs were read."""
         for number in numbers:
             pending = self._pending.get(number)
             if pending is not None:
                 pending.on_read()
 
     def lose_owner(self, owner: str, numbers: Sequence[int], fault: str) -> None:
-        """Order again elsewhere what an owner did not deliver."""
+        """Place the outstanding orders of a lost owner with another one."""
         link = self._links.pop(owner, None)
         if link is None:
             return
@@ -250,23 +252,23 @@
         lost = [self._pending[number] for number in numbers if number in self._pending]
         _LOG.warning("lost pool owner", extra={"owner": owner, "fault": fault, "orders": len(lost)})
         for service in {pending.service for pending in lost}:
-            self._place(service, [item for item in lost if item.service == service])
+            self._send_orders(service, [item for item in lost if item.service == service])
 
-    def _note_wait(self, result: PieceResult) -> None:
-        """Note what an owner said of its queue, if the piece is still waited for."""
+    def _record_wait(self, result: PieceResult) -> None:
+        """Record the reported queueing time, if the piece is still awaited."""
         pending = self._pending.get(result.number)
         if pending is not None:
             now = asyncio.get_running_loop().time()
-            self._waits.note(pending.service, pending.order.rank, result.wait_seconds, now)
+            self._waits.record(pending.service, pending.order.rank, result.wait_seconds, now)
 
     def _withdraw(self, number: int, done: "asyncio.Future[PieceResult]") -> None:
-        """Withdraw an order whose future was cancelled before its result came."""
+        """Withdraw an order whose future was cancelled before its result arrived."""
         pending = self._pending.pop(number, None)
         if pending is None or not done.cancelled():
             return
         service = pending.service
         self._withdrawn[number] = service
-        if len(self._withdrawn) > MOST_WITHDRAWN:
+        if len(self._withdrawn) > MAX_WITHDRAWN:
             del self._withdrawn[next(iter(self._withdrawn))]
         for link in self._links.values():
             link.withdraw(service, number)
@@ -275,12 +277,12 @@
             self._owners.get(service).withdraw(_SELF, (number,))
 
 
-def _age(pending: _Pending, now: float) -> PieceOrder:
-    """Return an order as it stands now, some time after it was placed first."""
-    passed = now - pending.placed_at
+def _deduct_elapsed(pending: _PendingOrder, now: float) -> PieceOrder:
+    """Return an order with the time since it was first placed deducted."""
+    elapsed = now - pending.placed_at
     return replace(
         pending.order,
-        left_seconds=pending.order.left_seconds - passed,
-        aim_left_seconds=pending.order.aim_left_seconds - passed,
-        give_up_left_seconds=pending.order.give_up_left_seconds - passed,
+        left_seconds=pending.order.left_seconds - elapsed,
+        aim_left_seconds=pending.order.aim_left_seconds - elapsed,
+        give_up_left_seconds=pending.order.give_up_left_seconds - elapsed,
     )
--- a/packages/damsonlaned/src/damsonlaned/gateway/_pool_metrics.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_pool_metrics.py
@@ -1,4 +1,4 @@
-"""What the owner of one pool counts."""
+"""The metrics of one pool, recorded by its owner."""
 
 from typing import Final
 
@@ -7,31 +7,31 @@
 
 
 class PoolMetrics:
-    """Counts the pieces and calls of one pool.
+    """Counts the pieces and measures the calls of one pool.
 
     Args:
         service: the service whose targets form the pool.
-        metrics: those of the process.
+        metrics: the metrics of the process.
     """
 
     def __init__(self, service: str, metrics: Metrics) -> None:
         self._service: Final = service
         self._metrics: Final = metrics
 
-    def note_call(self, seconds: float) -> None:
-        """Note a call that ended, however it did."""
+    def record_call(self, seconds: float) -> None:
+        """Record the duration of a call, whatever its outcome."""
         self._metrics.pool_call_seconds.observe({"service": self._service}, seconds)
 
-    def note_answer(self, fault: PieceFault | None) -> None:
-        """Note a piece that was made, or the fault for which it was not."""
+    def record_outcome(self, fault: PieceFault | None) -> None:
+        """Count a piece that was answered, by its fault if there is one."""
         self._count(fault or "made", 1)
 
-    def note_turned_back(self, pieces: int) -> None:
-        """Note pieces that a target had no room for; they are queued again."""
+    def record_out_of_memory(self, pieces: int) -> None:
+        """Count pieces for which a target lacked result memory; they are queued again."""
         self._count("no-room", pieces)
 
-    def note_returned(self, pieces: int) -> None:
-        """Note pieces that were returned since the pool has another owner."""
+    def record_returned(self, pieces: int) -> None:
+        """Count pieces that were returned because the pool has a new owner."""
         self._count("returned", pieces)
 
     def _count(self, outcome: str, pieces: int) -> None:
--- a/packages/damsonlaned/src/damsonlaned/gateway/_pool_owner.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_pool_owner.py
@@ -1,4 +1,4 @@
-"""The owner of one stage pool: fills batches with the pieces of all entries."""
+"""The owner of a stage pool: batches the pieces that all entries order."""
 
 import asyncio
 import logging
@@ -14,11 +14,11 @@
 from damsonlaned.dialects import BadRequestError, Dialect, MadePiece
 from damsonlaned.gateway._ended_targets import EndedTargets
 from damsonlaned.gateway._free_calls import FreeCalls
-from damsonlaned.gateway._makers import Maker, Makers
 from damsonlaned.gateway._order_receivers import OrderReceiver, OrderReceivers
 from damsonlaned.gateway._piece_answers import PieceAnswers
 from damsonlaned.gateway._pool_calls import BatchCall, PoolCalls, TargetFullError
 from damsonlaned.gateway._pool_metrics import PoolMetrics
+from damsonlaned.gateway._pool_targets import PoolTarget, PoolTargets
 from damsonlaned.gateway._rate_limits import ServiceLimits
 from damsonlaned.gateway._read_timer import ReadTimer
 from damsonlaned.gateway._targets import Targets
@@ -30,24 +30,24 @@
 
 _LOG: Final = logging.getLogger(__name__)
 
-#: Calls that one piece may be in before it is given up.
-MOST_ATTEMPTS: Final = 3
+#: Calls in which a piece may run before it counts as failed.
+MAX_ATTEMPTS: Final = 3
 
 
 class PoolOwner:
-    """Orders pieces of one service's targets.
+    """Queues pieces for the targets of one service and sends them in batches.
 
-    Each target works on one call at a time and this box sends it one at a
-    time, so pieces that arrive meanwhile fill the next batch.
+    A target runs one call at a time and this box sends it one at a time, so the
+    pieces that arrive during a call fill the next batch.
 
     Args:
         service: name of the service.
-        view: where its targets stand.
-        targets: connections to them.
-        dialect: how they are spoken to.
-        metrics: counts what becomes of pieces and calls.
-        ended: finds out which targets have ended.
-        quarantine: keeps requests that end targets from them.
+        view: lists its targets.
+        targets: provides the connections to them.
+        dialect: encodes and decodes their calls.
+        metrics: counts pieces and calls by outcome.
+        ended: finds out which targets have exited.
+        quarantine: withholds requests under which targets exit.
     """
 
     def __init__(
@@ -69,32 +69,38 @@
         self._calls: Final = PoolCalls(dialect, view.notices)
         self._queue: Final = PieceQueue()
         self._receivers: Final = OrderReceivers()
-        self._makers: Final = Makers(view.notices.seconds_left, ServiceLimits(view.limits, service))
+        self._pool_targets: Final = PoolTargets(
+            view.notices.seconds_left, ServiceLimits(view.limits, service)
+        )
         self._free_calls: Final = FreeCalls(
-            dialect.read_maker, self._calls, self._makers, self._reach, self._pump
+            dialect.read_maker,
+            self._calls,
+            self._pool_targets,
+            self._find_connections,
+            self._dispatch,
         )
         self._answers: Final = PieceAnswers(
-            self._receivers, WaitForecasts(self._reckon_wait), metrics, self.free
+            self._receivers, WaitForecasts(self._estimate_wait), metrics, self.free
         )
-        self._gate: Final = ColdGate()
+        self._warm_up_gate: Final = ColdGate()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._wake: asyncio.TimerHandle | None = None
-        view.on_change(self._follow_targets)
-        self._follow_targets()
+        self._check_timer: asyncio.TimerHandle | None = None
+        view.on_change(self._update_targets)
+        self._update_targets()
 
-    # What entries ask.
+    # Operations of entries.
 
     def attach(self, sender: str, receiver: OrderReceiver) -> None:
-        """Take orders of a sender from now on."""
+        """Register the receiver of results for a sender's orders."""
         self._receivers.attach(sender, receiver)
 
     def detach(self, sender: str) -> None:
-        """Drop what a sender that is gone has waiting."""
+        """Unregister a sender that disconnected and drop its queued pieces."""
         self._receivers.detach(sender)
         self._queue.withdraw_all(sender)
 
     def order(self, sender: str, orders: Sequence[PieceOrder]) -> None:
-        """Queue pieces, but not those of a request that is kept from targets."""
+        """Queue pieces; those of a quarantined request fail immediately."""
         now = self._now()
         for order in orders:
             piece = WaitingPiece(
@@ -108,84 +114,84 @@
                 self._answers.answer(piece, fault="failed")
             else:
                 self._queue.add(piece)
-        self._pump()
+        self._dispatch()
 
     def withdraw(self, sender: str, numbers: Sequence[int]) -> None:
-        """Drop pieces that nobody wants any more."""
+        """Drop queued pieces that their sender no longer needs."""
         for number in numbers:
             self._queue.withdraw(sender, number)
 
     def hand_over(self) -> None:
-        """Return what waits to who ordered it, since the pool has another owner now.
+        """Return queued pieces to their senders, since another entry now owns the pool.
 
-        Calls under way end here; their results are handed out as ever.
+        Calls in progress complete here and their results are delivered as usual.
         """
         returned = self._queue.take_all()
-        self._answers.give_back(returned)
+        self._answers.return_to_senders(returned)
         if returned:
             fields = {"service": self._service, "pieces": len(returned)}
             _LOG.info("pool handed over", extra=fields)
 
     def count_waiting(self) -> int:
-        """Return the number of pieces that wait."""
+        """Return the number of queued pieces."""
         return len(self._queue)
 
     def free(self, handles: Sequence[str]) -> None:
-        """Give results up at their makers."""
+        """Free results at the targets that computed them."""
         self._free_calls.add(handles)
 
     # Sending calls.
 
-    def _pump(self) -> None:
-        """Start a call at every free maker for which there is work."""
+    def _dispatch(self) -> None:
+        """Start a call at every ready target for which pieces are queued."""
         service = self._find_service()
         if service is None or service.pool is None:
             return
         now = self._now()
-        self._makers.shorten_rests(now)
-        if self._makers.find_return_seconds() > 0:
-            # Nothing takes a call until then: what can't wait so long is told at once.
+        self._pool_targets.shorten_ejections(now)
+        if self._pool_targets.find_backoff_seconds() > 0:
+            # Every target backs off: refuse now what would miss its deadline or objective.
             self._refuse(
-                self._queue.take_late(now, self._makers.make_offer(None, service.pool, now))
+                self._queue.take_late(now, self._pool_targets.make_offer(None, service.pool, now))
             )
-        cold = self._view.list_cold(self._service)
-        for maker in self._makers.free(now):
+        warming_up = self._view.list_cold(self._service)
+        for target in self._pool_targets.list_ready(now):
             if not len(self._queue):
                 return
-            if maker.name in cold and not self._admits_cold(maker, now):
+            if target.name in warming_up and not self._admits_warming_up(target, now):
                 continue
-            call = self._select(maker, service.pool, now)
+            call = self._select(target, service.pool, now)
             if call is not None:
-                # All calls of the fleet pass here, so this is where a target's limit is kept.
-                maker.take_permit()
-                if maker.name in cold:
-                    self._gate.note(maker.name, now)
+                # The owner sends all of the fleet's calls, so it enforces the rate limit here.
+                target.take_permit()
+                if target.name in warming_up:
+                    self._warm_up_gate.note(target.name, now)
                 self._start(service, call)
         if len(self._queue):
-            self._wake_later(now)
+            self._schedule_check(now)
 
-    def _admits_cold(self, maker: Maker, now: float) -> bool:
-        """Tell whether a cold target bears one more call."""
+    def _admits_warming_up(self, target: PoolTarget, now: float) -> bool:
+        """Return whether a target that is warming up can serve one more call."""
         bound = self._view.find_cold_bound(self._service)
-        return bound is None or self._gate.admits(maker.name, bound.owner_limit(), now)
+        return bound is None or self._warm_up_gate.admits(target.name, bound.owner_limit(), now)
 
-    def _select(self, maker: Maker, traits: PoolTraits, now: float) -> BatchCall | None:
-        """Take a batch for a target from the queue; return None when nothing there suits it."""
-        selection = self._queue.select(now, self._makers.make_offer(maker, traits, now))
+    def _select(self, target: PoolTarget, properties: PoolTraits, now: float) -> BatchCall | None:
+        """Dequeue a batch for a target and return its call; None if no piece fits."""
+        selection = self._queue.select(now, self._pool_targets.make_offer(target, properties, now))
         self._refuse(selection.late)
-        batch = self._set_suspects_apart(selection.batch)
+        batch = self._isolate_suspects(selection.batch)
         if not batch:
             return None
-        is_crowded = len(batch) + len(self._queue) >= traits.batch
-        call = BatchCall.plan(maker, batch, traits, now, is_crowded=is_crowded)
-        maker.note_call(call.announced, now + call.seconds)
+        is_saturated = len(batch) + len(self._queue) >= properties.batch
+        call = BatchCall.plan(target, batch, properties, now, is_saturated=is_saturated)
+        target.record_call(call.reserved_bytes, now + call.seconds)
         return call
 
-    def _set_suspects_apart(self, batch: tuple[WaitingPiece, ...]) -> tuple[WaitingPiece, ...]:
+    def _isolate_suspects(self, batch: tuple[WaitingPiece, ...]) -> tuple[WaitingPiece, ...]:
         """Return the part of a batch that may run together, and queue the rest again.
 
-        A request under which targets ended runs by itself: what always ran beside it could
-        not be told from it, and would be refused like it.
+        A request suspected of crashing targets runs in calls of its own: a request that always
+        shared its calls could not be told apart from it, and would be quarantined as well.
         """
         if not any(self._quarantine.is_suspect(piece.order.fingerprint) for piece in batch):
             return batch
@@ -206,82 +212,87 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _look(self) -> None:
-        """Tell what can't be in time any more, also while no target is free.
+    def _check_queue(self) -> None:
+        """Refuse pieces that can no longer be in time, even while no target is ready.
 
-        As long as targets work, what waits is judged whenever one is free: judged
-        more often, more was refused that would have been in time (policy.md).
+        While targets take calls, only expired pieces are refused here; the others are evaluated
+        when a target becomes ready. More frequent checks would refuse pieces that could still
+        have been in time.
         """
         service = self._find_service()
         if service is not None and service.pool is not None:
             now = self._now()
-            offer = self._makers.make_offer(None, service.pool, now)
-            # A target that takes its next call much later, by its rate limit, is not at work.
-            judge = self._queue.take_expired if offer.pieces_soon else self._queue.take_late
-            self._refuse(judge(now, offer))
-        self._pump()
+            offer = self._pool_targets.make_offer(None, service.pool, now)
+            # pieces_soon is 0 while rate limits delay the next call of every target for long.
+            take = self._queue.take_expired if offer.pieces_soon else self._queue.take_late
+            self._refuse(take(now, offer))
+        self._dispatch()
 
     def _refuse(self, late: Sequence[WaitingPiece]) -> None:
         for piece in late:
             self._answers.answer(piece, fault="late")
 
     async def _run(self, service: Service, call: BatchCall) -> None:
-        """Send a call, hand out what it made and look for the next one."""
+        """Send a call, deliver its results and dispatch the next one."""
         began_at = self._now()
-        made: dict[str, int] = {}
-        reading = ReadTimer(partial(self._receivers.tell_read, call.batch))
+        sizes: dict[str, int] = {}
+        read_timer = ReadTimer(partial(self._receivers.notify_read, call.batch))
         try:
-            made = await self._make(service, call, reading)
+            sizes = await self._execute(service, call, read_timer)
         finally:
-            reading.cancel()
-            call.maker.note_end(call.announced, made, self._now())
+            read_timer.cancel()
+            call.target.record_completion(call.reserved_bytes, sizes, self._now())
         seconds = self._now() - began_at
-        self._metrics.note_call(seconds)
-        self._log_end(call, len(made), seconds)
-        self._pump()
-
-    async def _make(self, service: Service, call: BatchCall, reading: ReadTimer) -> dict[str, int]:
-        """Have a batch made; return the sizes of its results by handle, none if it failed."""
-        maker = call.maker
+        self._metrics.record_call(seconds)
+        self._log_completion(call, len(sizes), seconds)
+        self._dispatch()
+
+    async def _execute(
+        self, service: Service, call: BatchCall, read_timer: ReadTimer
+    ) -> dict[str, int]:
+        """Run a batch; return the sizes of its results by handle, empty if the call failed."""
+        target = call.target
         began_at = self._now()
         try:
-            connections = self._targets.connections(service, maker.name, maker.address)
-            on_sent = reading.start if maker.reads_at_once(began_at) else _ignore
-            replies = await self._calls.make(connections, call, on_sent)
-            made = self._settle(call, replies)
+            connections = self._targets.connections(service, target.name, target.address)
+            on_sent = read_timer.start if target.reads_at_once(began_at) else _do_nothing
+            replies = await self._calls.compute(connections, call, on_sent)
+            sizes = self._deliver(call, replies)
             seconds = self._now() - began_at
-            maker.note_pace(seconds / call.seconds, self._now())
-            if call.is_crowded and service.pool is not None:
-                self._note_yielded(call, service.pool, seconds)
-            return made
+            target.record_duration_ratio(seconds / call.seconds, self._now())
+            if call.is_saturated and service.pool is not None:
+                self._record_throughput(call, service.pool, seconds)
+            return sizes
         except NotSentError as error:
-            self._note_failed(call, str(error), has_run=False)
+            self._record_failed_call(call, str(error), has_run=False)
         except TimeoutError:
-            self._ended.note_silent(LostTarget.of(maker.named), self._describe_runs(call, began_at))
-            self._note_failed(call, "no answer in time", has_run=True)
+            self._ended.note_silent(
+                LostTarget.of(target.incarnation), self._describe_runs(call, began_at)
+            )
+            self._record_failed_call(call, "no answer in time", has_run=True)
         except (BrokenAnswerError, BadRequestError) as error:
-            await self._note_broken(call, began_at)
-            self._note_failed(call, str(error), has_run=True)
+            await self._record_broken_call(call, began_at)
+            self._record_failed_call(call, str(error), has_run=True)
         except TargetFullError:
-            maker.note_full(self._now())
+            target.record_rejection(self._now())
             self._requeue(call.batch, has_run=False)
         return {}
 
-    def _note_yielded(self, call: BatchCall, traits: PoolTraits, seconds: float) -> None:
-        """Note what a call made that could have been full."""
-        full_seconds = traits.call_seconds + traits.batch * traits.piece_seconds
-        self._makers.yielded.note(len(call.batch), traits.batch, seconds, full_seconds)
+    def _record_throughput(self, call: BatchCall, properties: PoolTraits, seconds: float) -> None:
+        """Record the throughput of a call that could have been full."""
+        full_seconds = properties.call_seconds + properties.batch * properties.piece_seconds
+        self._pool_targets.throughput.note(len(call.batch), properties.batch, seconds, full_seconds)
 
-    def _log_end(self, call: BatchCall, made: int, seconds: float) -> None:
+    def _log_completion(self, call: BatchCall, results: int, seconds: float) -> None:
         _LOG.info(
             "batch ended",
             extra={
                 "service": self._service,
-                "target": call.maker.name,
+                "target": call.target.name,
                 "pieces": len(call.batch),
-                "away": call.count_away(),
-                "made": made,
-                "announced_bytes": call.announced,
+                "away": call.count_remote(),
+                "made": results,
+                "announced_bytes": call.reserved_bytes,
                 "free_bytes": call.free_bytes,
                 "expected_seconds": round(call.seconds, 3),
                 "seconds": round(seconds, 3),
@@ -289,111 +300,119 @@
             },
         )
 
-    def _settle(self, call: BatchCall, replies: Sequence[MadePiece]) -> dict[str, int]:
-        """Hand out what a call made; return the sizes of the results by handle."""
-        made: dict[str, int] = {}
+    def _deliver(self, call: BatchCall, replies: Sequence[MadePiece]) -> dict[str, int]:
+        """Deliver the results of a call; return their sizes by handle."""
+        sizes: dict[str, int] = {}
         failed: list[WaitingPiece] = []
-        without_room: list[WaitingPiece] = []
+        out_of_memory: list[WaitingPiece] = []
         for piece, reply in zip(call.batch, replies, strict=True):
             if reply.handle:
-                made[reply.handle] = piece.order.result_bytes
+                sizes[reply.handle] = piece.order.result_bytes
                 self._answers.answer(piece, handle=reply.handle)
             elif reply.fault in ("late", "lost-input"):
                 self._answers.answer(piece, fault=reply.fault)
             elif reply.fault == "no-room":
-                without_room.append(piece)
+                out_of_memory.append(piece)
             else:
                 failed.append(piece)
-        self._note_turned_back(call, without_room, sum(made.values()))
+        self._record_out_of_memory(call, out_of_memory, sum(sizes.values()))
         self._requeue(failed, has_run=True)
-        self._requeue(without_room, has_run=False)
-        return made
+        self._requeue(out_of_memory, has_run=False)
+        return sizes
 
-    def _note_turned_back(
-        self, call: BatchCall, pieces: Sequence[WaitingPiece], made_bytes: int
+    def _record_out_of_memory(
+        self, call: BatchCall, pieces: Sequence[WaitingPiece], computed_bytes: int
     ) -> None:
-        """Note pieces that a target had no room for, beside the results that it made."""
-        self._metrics.note_turned_back(len(pieces))
+        """Record pieces for which a target lacked result memory, beside the results it computed."""
+        self._metrics.record_out_of_memory(len(pieces))
         if pieces:
-            missing = call.free_bytes - made_bytes
-            call.maker.room.note_refused(missing, pieces[0].order.result_bytes, self._now())
+            missing = call.free_bytes - computed_bytes
+            call.target.result_memory.note_refused(
+                missing, pieces[0].order.result_bytes, self._now()
+            )
 
-    async def _note_broken(self, call: BatchCall, began_at: float) -> None:
-        """Have it found out whether the target ended, before its pieces go to another one."""
+    async def _record_broken_call(self, call: BatchCall, began_at: float) -> None:
+        """Find out whether the target exited, before its pieces go to another one."""
         runs = self._describe_runs(call, began_at)
-        if await self._ended.note_broken(LostTarget.of(call.maker.named), runs):
+        if await self._ended.note_broken(LostTarget.of(call.target.incarnation), runs):
             await self._quarantine.settle(*(run.fingerprint for run in runs))
 
     def _describe_runs(self, call: BatchCall, began_at: float) -> tuple[BrokenRun, ...]:
-        """Return the requests that a call was made for, some time after it began."""
+        """Return the requests of a call, with the time since it began."""
         seconds = self._now() - began_at
         names = {piece.order.fingerprint for piece in call.batch if piece.order.fingerprint}
         return tuple(BrokenRun(fingerprint=name, seconds=seconds) for name in sorted(names))
 
-    def _note_failed(self, call: BatchCall, fault: str, *, has_run: bool) -> None:
-        """Note a call without an answer, and queue its pieces again."""
-        call.maker.note_failure(self._now())
+    def _record_failed_call(self, call: BatchCall, fault: str, *, has_run: bool) -> None:
+        """Record a call without a valid answer, and queue its pieces again."""
+        call.target.record_failure(self._now())
         _LOG.warning(
             "batch failed",
-            extra={"service": self._service, "target": call.maker.name, "fault": fault},
+            extra={"service": self._service, "target": call.target.name, "fault": fault},
         )
         self._requeue(call.batch, has_run=has_run)
 
     def _requeue(self, pieces: Sequence[WaitingPiece], *, has_run: bool) -> None:
-        """Queue pieces again, but those that were in too many calls or whose sender is gone."""
+        """Queue pieces again; fail those out of attempts, of suspects or without a sender."""
         for piece in pieces:
             attempts = piece.attempts + (1 if has_run else 0)
-            is_lost = attempts >= MOST_ATTEMPTS or not self._receivers.knows(piece.sender)
-            if is_lost or (has_run and self._may_end_targets(piece)):
+            is_lost = attempts >= MAX_ATTEMPTS or not self._receivers.is_attached(piece.sender)
+            if is_lost or (has_run and self._is_crash_suspect(piece)):
                 self._answers.answer(piece, fault="failed")
             else:
                 self._queue.add(replace(piece, attempts=attempts))
 
-    def _may_end_targets(self, piece: WaitingPiece) -> bool:
-        """Tell whether targets ended under the request of a piece, here or elsewhere."""
+    def _is_crash_suspect(self, piece: WaitingPiece) -> bool:
+        """Return whether targets exited while they ran the request of a piece, at any box."""
         name = piece.order.fingerprint
         return self._quarantine.is_suspect(name) or self._quarantine.find_held(name) is not None
 
-    def _reckon_wait(self, like: PieceOrder) -> float:
-        """Return the seconds that a piece like another would wait for its turn."""
+    def _estimate_wait(self, like: PieceOrder) -> float:
+        """Return the estimated queueing time of a piece like the given one, in seconds."""
         service = self._find_service()
-        makers = self._makers.everyone()
-        if service is None or service.pool is None or not makers:
+        targets = self._pool_targets.list_all()
+        if service is None or service.pool is None or not targets:
             return 0.0
         now = self._now()
-        offer = self._makers.make_offer(None, service.pool, now)
+        offer = self._pool_targets.make_offer(None, service.pool, now)
         return self._queue.forecast(now, offer, like)
 
     # Targets.
 
-    def _follow_targets(self) -> None:
+    def _update_targets(self) -> None:
         service = self._find_service()
         if service is None or service.pool is None:
             return
-        self._makers.update(self._view.open_targets_of(self._service), service.pool)
-        self._pump()
+        self._pool_targets.update(self._view.open_targets_of(self._service), service.pool)
+        self._dispatch()
 
     def _find_service(self) -> Service | None:
         table = self._view.table
         return table.service(self._service) if table is not None else None
 
-    def _reach(self, maker: Maker) -> ConnectionPool | None:
+    def _find_connections(self, target: PoolTarget) -> ConnectionPool | None:
         """Return the connections to a target, or None while the service is not known."""
         service = self._find_service()
         if service is None:
             return None
-        return self._targets.connections(service, maker.name, maker.address)
-
-    def _wake_later(self, now: float) -> None:
-        """Look again when a resting target is due, or what waits may have become late."""
-        if self._wake is None or self._wake.cancelled() or self._wake.when() <= now:
+        return self._targets.connections(service, target.name, target.address)
+
+    def _schedule_check(self, now: float) -> None:
+        """Schedule the next check of the queue for ready targets and late pieces."""
+        if (
+            self._check_timer is None
+            or self._check_timer.cancelled()
+            or self._check_timer.when() <= now
+        ):
             loop = asyncio.get_running_loop()
-            self._wake = loop.call_later(self._makers.look_seconds(now), self._look)
+            self._check_timer = loop.call_later(
+                self._pool_targets.next_check_seconds(now), self._check_queue
+            )
 
     @staticmethod
     def _now() -> float:
         return asyncio.get_running_loop().time()
 
 
-def _ignore() -> None:
-    """Do nothing about a call that was sent."""
+def _do_nothing() -> None:
+    """Ignore that a call was sent."""
--- a/packages/damsonlaned/src/damsonlaned/gateway/_pool_owners.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_pool_owners.py
@@ -1,4 +1,4 @@
-"""The pools that this entry owns, or has owned."""
+"""The pools that this entry owns or has owned."""
 
 from typing import Final
 
@@ -13,15 +13,15 @@
 
 
 class PoolOwners:
-    """Owners of pools, made when first asked for.
+    """The owners of pools at this entry, created on first use.
 
     Args:
-        view: where the targets stand.
-        targets: connections to them.
-        dialect: how they are spoken to.
-        metrics: those of the process.
-        ended: finds out which targets have ended.
-        quarantine: keeps requests that end targets from them.
+        view: lists the targets.
+        targets: provides the connections to them.
+        dialect: encodes and decodes their calls.
+        metrics: the metrics of the process.
+        ended: finds out which targets have exited.
+        quarantine: withholds requests under which targets exit.
     """
 
     def __init__(
@@ -60,11 +60,11 @@
         return tuple(self._owners)
 
     def count_waiting(self) -> None:
-        """Set the metrics of what waits."""
+        """Set the gauges of queued pieces."""
         for service, owner in self._owners.items():
             self._metrics.pool_waiting.set({"service": service}, owner.count_waiting())
 
     def detach(self, sender: str) -> None:
-        """Forget a sender at all pools."""
+        """Unregister a sender at all pools."""
         for owner in self._owners.values():
             owner.detach(sender)
--- a/packages/damsonlaned/src/damsonlaned/gateway/_rate_limits.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_rate_limits.py
@@ -1,4 +1,4 @@
-"""Rate limits that targets named, and this box's part in keeping them."""
+"""The rate limits that targets announced, and the permits that this box issues for them."""
 
 import logging
 from collections.abc import Callable, Collection, Sequence
@@ -18,12 +18,12 @@
 
 _LOG: Final = logging.getLogger(__name__)
 
-#: Told what a target said, if it is news.
-TakeWord = Callable[[RateWord], None]
+#: Called with a rate limit report that changes what is known.
+OnReport = Callable[[RateWord], None]
 
 
 class RateLimits:
-    """What targets named, from whichever box heard it last, and the permits issued here.
+    """The announced rate limits, as any box last received them, and the permits issued here.
 
     Args:
         clock: returns the box's time, in seconds.
@@ -38,122 +38,122 @@
         self._book: Final = RateLimitBook()
         self._issuer: Final = PermitIssuer(self._book)
         self._listed = RateLimitList(revision=-1)
-        self._heard_listeners: list[TakeWord] = []
-        self._news_listeners: list[TakeWord] = []
-        #: Returns the part of the rates of a service's targets that this box issues.
+        self._received_listeners: list[OnReport] = []
+        self._update_listeners: list[OnReport] = []
+        #: Returns the share of the rates of a service's targets for which this box issues permits.
         self.find_share: Callable[[str], float] = lambda _: 1.0
 
-    def on_heard(self, listener: TakeWord) -> None:
-        """Call a function with each new word that a target says to this box."""
-        self._heard_listeners.append(listener)
+    def on_received(self, listener: OnReport) -> None:
+        """Call a function with each change that a target announces to this box."""
+        self._received_listeners.append(listener)
 
-    def on_news(self, listener: TakeWord) -> None:
-        """Call a function with each new word that a target says to this box or to another."""
-        self._news_listeners.append(listener)
+    def on_update(self, listener: OnReport) -> None:
+        """Call a function with each change that this box or a peer received."""
+        self._update_listeners.append(listener)
 
-    # What targets and other boxes say.
+    # Reports from targets, peers and control.
 
-    def take(self, named: TargetStart, signs: AnswerSigns, *, may_end: bool) -> None:
-        """Take the head of an answer.
+    def take(self, incarnation: TargetStart, signals: AnswerSigns, *, may_end: bool) -> None:
+        """Process the head of an answer.
 
         Args:
-            named: the target.
-            signs: what the head says.
-            may_end: whether an answer of this kind ends a limit that it does not name.
+            incarnation: the incarnation of the target that answered.
+            signals: the signals in the head.
+            may_end: whether an answer without a rate limit ends the one announced before.
         """
-        if signs.rate_limit is None and not (may_end and self.is_limited(named)):
+        if signals.rate_limit is None and not (may_end and self.is_limited(incarnation)):
             return
-        word = RateWord(named=named, rate=signs.rate_limit)
-        if self._note(word):
-            for listener in (*self._heard_listeners, *self._news_listeners):
-                listener(word)
-
-    def learn(self, words: Sequence[RateWord]) -> None:
-        """Take what another box heard."""
-        for word in words:
-            if self._note(word):
-                for listener in self._news_listeners:
-                    listener(word)
+        report = RateWord(named=incarnation, rate=signals.rate_limit)
+        if self._record(report):
+            for listener in (*self._received_listeners, *self._update_listeners):
+                listener(report)
+
+    def learn(self, reports: Sequence[RateWord]) -> None:
+        """Merge reports that a peer received."""
+        for report in reports:
+            if self._record(report):
+                for listener in self._update_listeners:
+                    listener(report)
 
     def put(self, newer: RateLimitList) -> None:
-        """Take the list of control: what is new there was heard by another box just now."""
+        """Apply a newer list from control; each change in it was just received by a peer."""
         if newer.revision <= self.revision:
             return
         before, self._listed = self._listed, newer
-        for word in list_changes(before, newer):
-            self._note(word)
+        for report in list_changes(before, newer):
+            self._record(report)
 
     @property
     def revision(self) -> int:
-        """Revision of the list of control that is held; -1 for none."""
+        """Revision of the list from control that was applied last; -1 for none."""
         return self._listed.revision
 
     def follow(self, known: Collection[TargetStart]) -> None:
-        """Forget starts of targets that control lists no more, as targets or as limited."""
-        kept = {*known, *(word.named for word in self._listed.words)}
-        self._book.forget_others(kept, self._clock())
-        self._issuer.forget_others(kept)
+        """Forget incarnations that control no longer lists, as targets or as rate limited."""
+        listed = {*known, *(report.named for report in self._listed.words)}
+        self._book.forget_others(listed, self._clock())
+        self._issuer.forget_others(listed)
 
-    # What is known.
+    # Known limits.
 
-    def is_limited(self, named: TargetStart) -> bool:
-        """Tell whether a target named a limit that binds."""
-        return self._book.is_limited(named)
+    def is_limited(self, incarnation: TargetStart) -> bool:
+        """Return whether a target announced a rate limit low enough to bind."""
+        return self._book.is_limited(incarnation)
 
-    def find_rate(self, named: TargetStart) -> float | None:
-        """Return the requests a second that a target takes; None where it names no limit."""
-        return None if self._book.is_empty() else self._book.find_rate(named)
+    def find_rate(self, incarnation: TargetStart) -> float | None:
+        """Return the rate limit of a target in requests per second; None without one."""
+        return None if self._book.is_empty() else self._book.find_rate(incarnation)
 
     def list_words(self) -> tuple[RateWord, ...]:
-        """Return the limits that hold, as another box is told of them."""
+        """Return a report of each rate limit in force, to send to a peer."""
         return () if self._book.is_empty() else self._book.list_words(self._clock())
 
-    # Permits of this box.
+    # Permits that this box issues.
 
     def is_owned(self, service: str) -> bool:
-        """Tell whether this box issues the permits of a service for all others."""
+        """Return whether this box owns a service, so that it issues all of its permits."""
         return self.find_share(service) >= 1.0
 
-    def wait_seconds(self, service: str, named: TargetStart) -> float:
-        """Return the seconds until this box may have one more request sent to a target."""
-        if not self.is_limited(named):
+    def wait_seconds(self, service: str, incarnation: TargetStart) -> float:
+        """Return the seconds until this box may issue one more permit for a target."""
+        if not self.is_limited(incarnation):
             return 0.0
-        return self._issuer.wait_seconds(named, self.find_share(service), self._clock())
+        return self._issuer.wait_seconds(incarnation, self.find_share(service), self._clock())
 
-    def take_permit(self, service: str, named: TargetStart) -> bool:
-        """Count a request to a target; tell whether it may be sent."""
-        if not self.is_limited(named):
+    def take_permit(self, service: str, incarnation: TargetStart) -> bool:
+        """Count a request to a target; return whether it may be sent."""
+        if not self.is_limited(incarnation):
             return True
-        return self._issuer.take(named, self.find_share(service), self._clock())
+        return self._issuer.take(incarnation, self.find_share(service), self._clock())
 
-    def gap_seconds(self, service: str, named: TargetStart) -> float:
-        """Return the seconds from one request of this box to the next; 0 without a limit."""
-        if not self.is_limited(named):
+    def gap_seconds(self, service: str, incarnation: TargetStart) -> float:
+        """Return the seconds between two permits of this box for a target; 0 without a limit."""
+        if not self.is_limited(incarnation):
             return 0.0
-        return self._issuer.gap_seconds(named, self.find_share(service))
+        return self._issuer.gap_seconds(incarnation, self.find_share(service))
 
     def issue(self, service: str, orders: Sequence[PermitOrder]) -> tuple[Permit, ...]:
-        """Answer the orders of a box."""
+        """Answer the permit orders of a box."""
         share = self.find_share(service)
         now = self._clock()
         return tuple(self._issuer.issue(service, order, share, now) for order in orders)
 
-    def _note(self, word: RateWord) -> bool:
-        is_news = self._book.note(word, self._clock())
-        if is_news:
-            # From now on a place comes free, whether or not somebody wants it yet.
-            self.wait_seconds(self._find_service(word.named), word.named)
-            fields = {"target": word.named.target, "start": word.named.start}
-            times = {"rate": word.rate, "age": round(word.age, 3)}
+    def _record(self, report: RateWord) -> bool:
+        is_new = self._book.note(report, self._clock())
+        if is_new:
+            # Create the token bucket now, so that it fills before the first permit is ordered.
+            self.wait_seconds(self._find_service(report.named), report.named)
+            fields = {"target": report.named.target, "start": report.named.start}
+            times = {"rate": report.rate, "age": round(report.age, 3)}
             _LOG.info("rate limit named", extra={**fields, **times})
-        return is_news
+        return is_new
 
 
 class ServiceLimits:
-    """The limits of one service's targets, for the box that sends all of their calls.
+    """The rate limits of one service's targets, for the box that sends all of their calls.
 
     Args:
-        limits: those of all services.
+        limits: the rate limits of all services.
         service: name of the service.
     """
 
@@ -161,14 +161,14 @@
         self._limits: Final = limits
         self._service: Final = service
 
-    def wait_seconds(self, named: TargetStart) -> float:
+    def wait_seconds(self, incarnation: TargetStart) -> float:
         """Return the seconds until a target may get one more call."""
-        return self._limits.wait_seconds(self._service, named)
+        return self._limits.wait_seconds(self._service, incarnation)
 
-    def take_permit(self, named: TargetStart) -> bool:
-        """Count a call to a target; tell whether it may be sent."""
-        return self._limits.take_permit(self._service, named)
+    def take_permit(self, incarnation: TargetStart) -> bool:
+        """Count a call to a target; return whether it may be sent."""
+        return self._limits.take_permit(self._service, incarnation)
 
-    def gap_seconds(self, named: TargetStart) -> float:
-        """Return the least seconds from one call to the next; 0 without a limit."""
-        return self._limits.gap_seconds(self._service, named)
+    def gap_seconds(self, incarnation: TargetStart) -> float:
+        """Return the least seconds between two calls to a target; 0 without a limit."""
+        return self._limits.gap_seconds(self._service, incarnation)
--- a/packages/damsonlaned/src/damsonlaned/gateway/_stage_orders.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_stage_orders.py
@@ -1,4 +1,4 @@
-"""Orders for the pieces of a stage: where they should run and how much time they have."""
+"""Orders for the pieces of a stage: their preferred data centre and time limits."""
 
 import asyncio
 from collections import Counter
@@ -12,39 +12,39 @@
 from damsonlane.routes import Stage
 from damsonlaned.gateway._call import Call
 from damsonlaned.gateway._pool_client import PoolClient
-from damsonlaned.gateway._stage_work import StageWork
+from damsonlaned.gateway._stage_work import StageAttempt
 
-#: Share of its time after which a request whose stages are begun is served
-#: however late: its caller has waited too long to try again with success.
+#: Share of its time after which a request whose stages have begun is served even if
+#: it misses its objective: its caller has waited too long for a retry to succeed.
 GIVE_UP_SHARE: Final = 0.45
-#: Seconds within which the stages of a broken stream should be made again.  Its
-#: caller reads on meanwhile; with time until the deadline they went behind all
-#: others, and seven streams in 50 s of load ended there.
+#: Latency objective in seconds for the stages of a broken stream that is resumed.  Its
+#: caller is still reading: with the deadline as the objective, its pieces would queue
+#: behind all others, and streams would be lost under load.
 RESUME_SECONDS: Final = 1.0
-#: Share of a full batch that a call is reckoned to hold.
-USUAL_BATCH_SHARE: Final = 0.6
-#: Bytes that a stage must move before it matters in which data centre it runs.
+#: Share of a full batch that a call is assumed to contain.
+TYPICAL_BATCH_SHARE: Final = 0.6
+#: Least bytes that all pieces of a stage read for which it gets a preferred data centre.
 HOME_BYTES: Final = 100_000
 
 
 @dataclass(frozen=True, kw_only=True)
-class _TimeAfter:
-    """What a request still needs once a stage is made, in seconds."""
+class _RemainingTime:
+    """The estimated time that a request needs after a stage, in seconds."""
 
     #: Time of the later stages.
     stages: float
-    #: Time in the queues of the later stages, as last heard.
+    #: Queueing time of the later stages, by the last reports.
     queues: float
     #: Time from the start of the last step to the first event of its answer.
     first_event: float
 
 
 class StageOrders:
-    """Makes the orders for the pieces of stages.
+    """Builds the orders for the pieces of stages.
 
     Args:
-        client: knows how long pieces wait at each pool.
-        locate: returns the data centre in which a result lies, by its handle.
+        client: provides the queueing time of each pool.
+        locate: returns the data centre that holds a result, by its handle.
     """
 
     def __init__(self, client: PoolClient, locate: Callable[[str], str]) -> None:
@@ -52,52 +52,55 @@
         self._locate: Final = locate
         self._first_events: Final[dict[str, FirstEventForecast]] = {}
 
-    def note_first_event(self, call: Call, seconds: float) -> None:
-        """Learn from the first event of an answer, some seconds after its request was sent."""
+    def record_first_event(self, call: Call, seconds: float) -> None:
+        """Record the seconds from sending a request to the first event of its answer."""
         self._find_forecast(call).note(call.request.tokens_in, seconds)
 
-    def expect_seconds(self, call: Call, stage: Stage) -> float:
-        """Return the time that a stage will take, with the queue that was last heard of."""
+    def estimate_seconds(self, call: Call, stage: Stage) -> float:
+        """Return the estimated seconds of a stage, including the last reported queueing time."""
         wait = self._client.wait_seconds(stage.service, call.rank)
-        return _usual_seconds(call, stage) + wait
+        return _typical_seconds(call, stage) + wait
 
-    def find_home(self, work: StageWork, start: StageStart) -> str:
-        """Return the data centre in which a stage should run, or an empty string.
+    def find_home(self, attempt: StageAttempt, start: StageStart) -> str:
+        """Return the preferred data centre of a stage, or an empty string.
 
-        Only inputs that are large bind a stage.  What has none may run anywhere: the
-        engine is chosen beside its results, so no target stands idle for their sake.
+        Only a stage with large inputs has one. Others may run anywhere, so that no target
+        stays idle: the engine is chosen near their results.
         """
-        moved = start.pieces * _count_input_bytes(work.call, start)
+        moved = start.pieces * _count_input_bytes(attempt.call, start)
         if not start.inputs or moved < HOME_BYTES:
             return ""
-        return self._most_common_place(start.inputs)
+        return self._most_common_data_centre(start.inputs)
 
-    def find_input_places(self, work: StageWork) -> tuple[InputPlace, ...]:
-        """Return where the results that the last step needs lie."""
+    def find_input_places(self, attempt: StageAttempt) -> tuple[InputPlace, ...]:
+        """Return the bytes of the last step's inputs that each data centre holds."""
         sizes: Counter[str] = Counter()
-        for index, handles in work.plan.final_handles().items():
-            size = work.call.route.stages[index].result_bytes
+        for index, handles in attempt.plan.final_handles().items():
+            size = attempt.call.route.stages[index].result_bytes
             for handle in handles:
                 sizes[self._locate(handle)] += size
         return tuple(InputPlace(data_centre=name, size=size) for name, size in sizes.items())
 
-    def make(self, work: StageWork, start: StageStart, piece: int, home: str) -> PieceOrder:
-        """Return the order for one piece; the client gives it its number.
+    def make_order(
+        self, attempt: StageAttempt, start: StageStart, piece: int, home: str
+    ) -> PieceOrder:
+        """Return the order for one piece; the client assigns its number.
 
         Args:
-            work: the try that it belongs to.
-            start: its stage.
+            attempt: the attempt that it belongs to.
+            start: the stage.
             piece: its index in the stage.
-            home: data centre in which it should run, or an empty string.
+            home: the preferred data centre, or an empty string.
         """
-        call = work.call
-        after = self._reckon_after(work, start)
+        call = attempt.call
+        after = self._estimate_after(attempt, start)
         now = asyncio.get_running_loop().time()
-        rest = after.stages + after.queues + after.first_event
-        aim_left = _aim_at(call, now) - now - rest
-        is_late_return = call.waited_seconds > 0 and aim_left < _usual_seconds(call, start.stage)
+        remaining = after.stages + after.queues + after.first_event
+        aim_left = _find_objective(call, now) - now - remaining
+        is_late_return = call.waited_seconds > 0 and aim_left < _typical_seconds(call, start.stage)
         if is_late_return:
-            # Late whatever is done, it is served as soon as one that has just come, or told.
+            # A retried request that will be late anyway gets the objective of a new one, so that
+            # it is served as soon as that or refused.
             aim_left += call.waited_seconds
         return PieceOrder(
             number=0,
@@ -112,17 +115,17 @@
             give_up_left_seconds=_give_up_at(call) - now,
             rank=call.rank,
             result_bytes=start.stage.result_bytes,
-            is_begun=call.is_begun or bool(work.held),
+            is_begun=call.is_begun or bool(attempt.held),
             fingerprint=call.fingerprint,
             home=home,
         )
 
-    def _reckon_after(self, work: StageWork, start: StageStart) -> _TimeAfter:
-        """Return the time that a request needs once a stage is made."""
-        call = work.call
-        chain = work.plan.depth_after(start.index)
-        return _TimeAfter(
-            stages=sum(_usual_seconds(call, stage) for stage in chain),
+    def _estimate_after(self, attempt: StageAttempt, start: StageStart) -> _RemainingTime:
+        """Return the estimated time that a request needs after a stage."""
+        call = attempt.call
+        chain = attempt.plan.depth_after(start.index)
+        return _RemainingTime(
+            stages=sum(_typical_seconds(call, stage) for stage in chain),
             queues=sum(self._client.wait_seconds(stage.service, call.rank) for stage in chain),
             first_event=self._find_forecast(call).seconds(
                 call.request.tokens_in, call.route.aim_seconds
@@ -130,39 +133,41 @@
         )
 
     def _find_forecast(self, call: Call) -> FirstEventForecast:
-        """Return the forecast of first events for the service of a request."""
+        """Return the first-event forecast for the service of a request."""
         return self._first_events.setdefault(call.service.name, FirstEventForecast())
 
-    def _most_common_place(self, handles: Sequence[str]) -> str:
-        """Return the data centre in which most of some results lie."""
+    def _most_common_data_centre(self, handles: Sequence[str]) -> str:
+        """Return the data centre that holds most of some results."""
         places = Counter(self._locate(handle) for handle in handles)
         return places.most_common(1)[0][0]
 
 
-def _aim_at(call: Call, now: float) -> float:
-    """Return when the answer should be there; a broken stream is to be resumed soon."""
+def _find_objective(call: Call, now: float) -> float:
+    """Return the time of a request's latency objective; that of a broken stream is near."""
     return min(call.due_at, now + RESUME_SECONDS) if call.is_begun else call.aim_at
 
 
 def _give_up_at(call: Call) -> float:
-    """Return until when a request may be given up; one whose answer has begun may not."""
+    """Return until when a request may be refused; one whose answer has begun may not be."""
     if call.is_begun:
         return call.arrived_at
     return call.arrived_at + GIVE_UP_SHARE * (call.due_at - call.arrived_at)
 
 
 def _count_input_bytes(call: Call, start: StageStart) -> int:
-    """Return the size of what one piece of a stage reads."""
+    """Return the bytes of inputs that one piece of a stage reads."""
     return sum(
         call.request.pieces[earlier] * call.route.stages[earlier].result_bytes
         for earlier in start.stage.after
     )
 
 
-def _usual_seconds(call: Call, stage: Stage) -> float:
-    """Return the time that a stage usually takes, as the document tells it."""
+def _typical_seconds(call: Call, stage: Stage) -> float:
+    """Return the typical seconds of a stage, from the routing document."""
     service = call.table.service(stage.service)
     if service is None or service.pool is None:
         return 0.0
-    traits = service.pool
-    return traits.call_seconds + USUAL_BATCH_SHARE * traits.batch * traits.piece_seconds
+    properties = service.pool
+    return (
+        properties.call_seconds + TYPICAL_BATCH_SHARE * properties.batch * properties.piece_seconds
+    )
--- a/packages/damsonlaned/src/damsonlaned/gateway/_stage_work.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_stage_work.py
@@ -1,4 +1,4 @@
-"""How far the stages of one request are, and the results that they left at targets."""
+"""The progress of one request's stages, and their results held at targets."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -10,44 +10,44 @@
 
 @dataclass(frozen=True, kw_only=True)
 class HeldResult:
-    """A result that lies at a target until it is given up."""
+    """A result that a target holds until it is freed."""
 
     #: Handle of the result.
     handle: str
-    #: Service that made it.
+    #: Service whose target holds it.
     service: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class StageResults:
-    """Results that the last step needs, and all that must be given up after it."""
+    """Results that the last step needs, and all that must be freed after it."""
 
-    #: Handles for the last step.
+    #: Handles of the last step's inputs.
     inputs: tuple[str, ...] = ()
-    #: All that must be given up.
+    #: All results that must be freed.
     held: tuple[HeldResult, ...] = ()
-    #: Where those for the last step lie.
+    #: Data centres that hold the last step's inputs.
     places: tuple[InputPlace, ...] = ()
 
 
 @dataclass(frozen=True, kw_only=True)
-class StageWork:
-    """One try at all stages of a request; the plan and the results move on."""
+class StageAttempt:
+    """One attempt at all stages of a request, with its mutable plan and results."""
 
     #: The request.
     call: Call
-    #: Which stages are done.
+    #: Tracks which stages are done.
     plan: StagePlan
-    #: The service that made each result, by the result's handle.
+    #: The service that computed each held result, by the result's handle.
     held: dict[str, str] = field(default_factory=dict)
 
-    def note(self, start: StageStart, piece: int, handle: str) -> None:
-        """Note the result of a piece."""
+    def record(self, start: StageStart, piece: int, handle: str) -> None:
+        """Record the result of a piece."""
         self.plan.note(start.index, piece, handle)
         self.held[handle] = start.stage.service
 
-    def take_spent(self, stage: int) -> StageResults:
-        """Return the results that nothing needs after a stage, and hold them no more."""
+    def pop_spent(self, stage: int) -> StageResults:
+        """Remove and return the held results that no stage needs after the given one."""
         spent = {
             handle: self.held.pop(handle)
             for handle in self.plan.spent_inputs(stage)
@@ -56,7 +56,7 @@
         return _collect(spent)
 
     def collect(self) -> StageResults:
-        """Return all results, none of them as an input of the last step yet."""
+        """Return all held results, without inputs of the last step."""
         return _collect(self.held)
 
 
--- a/packages/damsonlaned/src/damsonlaned/gateway/_stages.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_stages.py
@@ -1,4 +1,4 @@
-"""Having a request's stages made before it runs."""
+"""Runs the stages of a request before the request itself is sent."""
 
 import asyncio
 import contextlib
@@ -13,16 +13,16 @@
 from damsonlaned.gateway._call import Call
 from damsonlaned.gateway._pool_client import PoolClient
 from damsonlaned.gateway._stage_orders import StageOrders
-from damsonlaned.gateway._stage_work import StageResults, StageWork
+from damsonlaned.gateway._stage_work import StageAttempt, StageResults
 
 _LOG: Final = logging.getLogger(__name__)
 
-#: Times that a request's stages are begun again after an input was lost.
-MOST_PLANS: Final = 2
-#: Seconds after which a caller whose stages failed should come back, at the least.
+#: Attempts at a request's stages, of which each may fail because an input was lost.
+MAX_ATTEMPTS: Final = 2
+#: Least seconds after which a caller whose stages failed should retry.
 RETRY_SECONDS: Final = 0.5
-#: What the faults of pieces mean, for a person.
-_FAULTS: Final[Mapping[PieceFault, str]] = {
+#: Human-readable texts for the faults of pieces.
+_FAULT_TEXTS: Final[Mapping[PieceFault, str]] = {
     "late": "with the queue there it would miss its aim or its deadline",
     "lost-input": "the result of an earlier stage is lost",
     "failed": "no target made it",
@@ -30,10 +30,10 @@
 
 
 class StageError(DamsonlaneError):
-    """The stages of a request could not be made; it has not run.
+    """The stages of a request failed, so the request was not sent.
 
     Attributes:
-        retry_seconds: when the caller should come back.
+        retry_seconds: seconds after which the caller should retry.
     """
 
     def __init__(self, detail: str, retry_seconds: float = RETRY_SECONDS) -> None:
@@ -42,15 +42,15 @@
 
 
 class _LostInputError(Exception):
-    """A result was gone before it was used."""
+    """A result was lost before it was used."""
 
 
 class StageRunner:
-    """Makes stages by way of the pools' owners.
+    """Runs stages by ordering their pieces from the owners of pools.
 
     Args:
         client: orders pieces.
-        locate: returns the data centre in which a result lies, by its handle.
+        locate: returns the data centre that holds a result, by its handle.
     """
 
     def __init__(self, client: PoolClient, locate: Callable[[str], str]) -> None:
@@ -58,85 +58,87 @@
         self._orders: Final = StageOrders(client, locate)
 
     async def make(self, call: Call, *, is_begun: bool = False) -> StageResults:
-        """Return the results of all stages of a request.
+        """Run all stages of a request and return their results.
 
         Args:
             call: the request.
-            is_begun: whether its answer has begun, so that it is resumed rather
-                than refused, however late.
+            is_begun: whether its answer has begun, so that it is resumed even if late, rather
+                than refused.
 
         Raises:
-            StageError: a piece was too late or could not be made.
+            StageError: a piece was too late or failed.
         """
         pieces = call.request.pieces
         if not self.has_work(call):
             return StageResults()
         if len(pieces) != len(call.route.stages):
             raise StageError(f"{len(pieces)} numbers of pieces for {len(call.route.stages)} stages")
-        for _ in range(MOST_PLANS):
+        for _ in range(MAX_ATTEMPTS):
             with contextlib.suppress(_LostInputError):
-                return await self._make_once(replace(call, is_begun=is_begun))
+                return await self._run_once(replace(call, is_begun=is_begun))
             _LOG.warning("stage result lost", extra=call.log_fields())
         raise StageError("results of its stages were lost repeatedly")
 
     def has_work(self, call: Call) -> bool:
-        """Tell whether a request has stages that are made before it is sent."""
+        """Return whether a request has stages that run before it is sent."""
         return bool(call.route.stages) and any(call.request.pieces)
 
     def expect_seconds(self, call: Call) -> float:
-        """Return the time that the stages of a request will take; 0 if it has none."""
+        """Return the estimated seconds of a request's stages; 0 if it has none."""
         pieces = call.request.pieces
         if len(pieces) != len(call.route.stages):
             return 0.0
         plan = StagePlan(call.route.stages, pieces)
-        return plan.longest_seconds(partial(self._orders.expect_seconds, call))
+        return plan.longest_seconds(partial(self._orders.estimate_seconds, call))
 
     def note_first_event(self, call: Call, seconds: float) -> None:
-        """Learn from the first event of an answer, some seconds after its request was sent."""
-        self._orders.note_first_event(call, seconds)
+        """Record the seconds from sending a request to the first event of its answer."""
+        self._orders.record_first_event(call, seconds)
 
     def is_room_wanted(self, results: StageResults) -> bool:
-        """Tell whether pieces wait at a pool whose targets hold some of the results."""
+        """Return whether pieces wait at a pool whose targets hold some of the results."""
         return any(self._client.has_queue(service) for service in _find_services(results))
 
     def free(self, results: StageResults) -> None:
-        """Give results up."""
+        """Free results."""
         by_service: dict[str, list[str]] = {}
         for result in results.held:
             by_service.setdefault(result.service, []).append(result.handle)
         for service, handles in by_service.items():
             self._client.free(service, handles)
 
-    async def _make_once(self, call: Call) -> StageResults:
-        """Make all stages in one try; give up what was made if it fails."""
+    async def _run_once(self, call: Call) -> StageResults:
+        """Run all stages in one attempt; free their results if it fails."""
         plan = StagePlan(call.route.stages, call.request.pieces)
-        work = StageWork(call=call, plan=plan)
+        attempt = StageAttempt(call=call, plan=plan)
         tasks: set[asyncio.Task[int]] = set()
         try:
             while not plan.is_done():
-                for start in plan.take_ready(partial(self._orders.expect_seconds, call)):
-                    tasks.add(asyncio.ensure_future(self._make_stage(work, start)))
+                for start in plan.take_ready(partial(self._orders.estimate_seconds, call)):
+                    tasks.add(asyncio.ensure_future(self._run_stage(attempt, start)))
                 done, tasks = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
                 for task in done:
-                    self.free(work.take_spent(task.result()))
+                    self.free(attempt.pop_spent(task.result()))
         except BaseException:
             for task in tasks:
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
-            self.free(work.collect())
+            self.free(attempt.collect())
             raise
-        places = self._orders.find_input_places(work)
-        return replace(work.collect(), inputs=plan.final_inputs(), places=places)
-
-    async def _make_stage(self, work: StageWork, start: StageStart) -> int:
-        """Make one stage and return its index."""
-        call = work.call
-        home = self._orders.find_home(work, start)
-        orders = [self._orders.make(work, start, piece, home) for piece in range(start.pieces)]
-        on_read = partial(self._note_read, work, start)
+        places = self._orders.find_input_places(attempt)
+        return replace(attempt.collect(), inputs=plan.final_inputs(), places=places)
+
+    async def _run_stage(self, attempt: StageAttempt, start: StageStart) -> int:
+        """Run one stage and return its index."""
+        call = attempt.call
+        home = self._orders.find_home(attempt, start)
+        orders = [
+            self._orders.make_order(attempt, start, piece, home) for piece in range(start.pieces)
+        ]
+        on_read = partial(self._handle_read, attempt, start)
         futures = self._client.order(start.stage.service, orders, on_read)
         began_at = call.remaining()
-        await self._take_results(work, start, futures)
+        await self._collect_results(attempt, start, futures)
         _LOG.info(
             "stage made",
             extra={
@@ -150,45 +152,51 @@
         )
         return start.index
 
-    def _note_read(self, work: StageWork, start: StageStart, piece: int) -> None:
-        """Give up inputs that every piece has read, if others wait for their room.
+    def _handle_read(self, attempt: StageAttempt, start: StageStart, piece: int) -> None:
+        """Free inputs that every piece has read, if other pieces wait for result memory.
 
-        Where nobody waits they are kept until the pieces are made, since a piece
-        that fails may be made again with them.
+        If none wait, the inputs are kept until the pieces are computed, so that a piece
+        that fails can be retried with them.
         """
-        work.plan.note_read(start.index, piece)
-        stages = work.call.route.stages
+        attempt.plan.note_read(start.index, piece)
+        stages = attempt.call.route.stages
         if any(self._client.has_queue(stages[earlier].service) for earlier in start.stage.after):
-            self.free(work.take_spent(start.index))
+            self.free(attempt.pop_spent(start.index))
 
-    async def _take_results(
-        self, work: StageWork, start: StageStart, futures: "Sequence[asyncio.Future[PieceResult]]"
+    async def _collect_results(
+        self,
+        attempt: StageAttempt,
+        start: StageStart,
+        futures: "Sequence[asyncio.Future[PieceResult]]",
     ) -> None:
-        """Wait for all pieces of a stage, or for the first that is not made."""
+        """Wait for all pieces of a stage, or for the first that fails."""
         try:
             for piece, future in enumerate(futures):
                 result = await future
                 if not result.handle:
                     self._raise_fault(start, result)
-                work.note(start, piece, result.handle)
+                attempt.record(start, piece, result.handle)
         finally:
-            self._note_rest(work, start, futures)
+            self._settle_remaining(attempt, start, futures)
 
-    def _note_rest(
-        self, work: StageWork, start: StageStart, futures: "Sequence[asyncio.Future[PieceResult]]"
+    def _settle_remaining(
+        self,
+        attempt: StageAttempt,
+        start: StageStart,
+        futures: "Sequence[asyncio.Future[PieceResult]]",
     ) -> None:
-        """Withdraw the pieces not made yet, and keep account of those made meanwhile."""
+        """Withdraw unfinished pieces, and record the results of finished ones so they are freed."""
         for future in futures:
             if not future.done():
                 future.cancel()
             elif not future.cancelled() and future.result().handle:
-                work.held[future.result().handle] = start.stage.service
+                attempt.held[future.result().handle] = start.stage.service
 
     def _raise_fault(self, start: StageStart, result: PieceResult) -> NoReturn:
-        """Say why a piece was not made, and when the caller should come back."""
+        """Raise the error for a piece that has no result."""
         if result.fault == "lost-input":
             raise _LostInputError
-        reason = _FAULTS[result.fault] if result.fault is not None else "no result"
+        reason = _FAULT_TEXTS[result.fault] if result.fault is not None else "no result"
         detail = f"stage {start.index} of service {start.stage.service}: {reason}"
         raise StageError(detail, RETRY_SECONDS + result.wait_seconds)
 
--- a/packages/damsonlaned/src/damsonlaned/gateway/_wait_forecasts.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_wait_forecasts.py
@@ -1,4 +1,4 @@
-"""How long the pieces of each rank wait at one pool."""
+"""Estimates how long pieces wait in the queue of a pool, by priority."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -6,36 +6,36 @@
 
 from damsonlane.pools import PieceOrder
 
-#: Seconds for which one forecast of a rank's wait serves.
+#: Seconds for which an estimate is reused.
 FORECAST_SECONDS: Final = 0.05
 
 
 @dataclass(frozen=True, kw_only=True)
 class _Forecast:
-    """How long pieces of one rank wait."""
+    """The estimated wait of pieces of one priority."""
 
-    #: Seconds until such a piece would begin.
+    #: Queueing time of such a piece in seconds.
     seconds: float
-    #: When that was reckoned, by the loop's clock.
-    made_at: float
+    #: When it was estimated, by the loop's clock.
+    estimated_at: float
 
 
 class WaitForecasts:
-    """Forecasts of waits; one serves all pieces of a rank for a moment.
+    """Caches wait estimates by priority (``rank``) for ``FORECAST_SECONDS``.
 
     Args:
-        reckon: looks at the whole queue and returns the seconds that a piece
-            like a given one would wait for its turn.
+        estimate: scans the whole queue and returns the queueing time in seconds
+            of a piece like the given one.
     """
 
-    def __init__(self, reckon: Callable[[PieceOrder], float]) -> None:
-        self._reckon: Final = reckon
+    def __init__(self, estimate: Callable[[PieceOrder], float]) -> None:
+        self._estimate: Final = estimate
         self._forecasts: dict[int, _Forecast] = {}
 
     def seconds(self, like: PieceOrder, now: float) -> float:
-        """Return the seconds that a piece like another would wait for its turn."""
+        """Return the estimated queueing time of a piece like the given one, in seconds."""
         known = self._forecasts.get(like.rank)
-        if known is None or now - known.made_at > FORECAST_SECONDS:
-            known = _Forecast(seconds=self._reckon(like), made_at=now)
+        if known is None or now - known.estimated_at > FORECAST_SECONDS:
+            known = _Forecast(seconds=self._estimate(like), estimated_at=now)
             self._forecasts[like.rank] = known
         return known.seconds
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_placement.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Prompts placed by another entry, over the stream to it."""
+"""Tests prompts that another entry places, over the stream to it."""
 
 import unittest
 from dataclasses import replace
@@ -72,7 +72,7 @@
         self.assertEqual(placed.target, "one")
         self.assertIsNone(none)
 
-    async def test_the_engine_that_gives_parts_is_named_by_its_address(self) -> None:
+    async def test_source_engine_is_resolved_to_its_address(self) -> None:
         targets = self.asker.attempts._targets
         for source, address in (("one", "127.0.0.3:9"), ("gone", ""), ("", "")):
             with self.subTest(source=source):
@@ -82,42 +82,42 @@
                 assert chosen is not None
                 self.assertEqual(chosen.source_address, address)
 
-    async def test_the_owner_is_told_once_what_became_of_a_prompt(self) -> None:
+    async def test_outcome_of_a_prompt_is_reported_to_the_owner_once(self) -> None:
         await self.serve()
         placer = self.placers.find("engines")
         assert placer is not None
         with (
             mock.patch.object(_placement_client, "ANSWER_SECONDS", PATIENCE),
-            mock.patch.object(placer, "note_reads") as told,
+            mock.patch.object(placer, "record_reads") as record_reads,
         ):
             placed = await self.client.place("engines", ORDER)
             assert placed is not None
             placed.note_read(0.2)
             placed.note_read(None)
-            await wait(lambda: any(call.args[1] for call in told.mock_calls))
-        reads = [read for call in told.mock_calls for read in call.args[1]]
+            await wait(lambda: any(call.args[1] for call in record_reads.mock_calls))
+        reads = [read for call in record_reads.mock_calls for read in call.args[1]]
         self.assertEqual([read.seconds for read in reads], [0.2])
 
-    async def test_an_owner_that_does_not_answer_is_left_alone_for_a_while(self) -> None:
+    async def test_owner_that_timed_out_is_not_asked_again_immediately(self) -> None:
         asked: list[PoolOrders] = []
 
-        async def swallow(stream: Stream[PoolOrders, PoolResults]) -> None:
+        async def ignore(stream: Stream[PoolOrders, PoolResults]) -> None:
             async for message in stream:
                 asked.append(message)
 
-        await serve(self, self.address, Service({POOL.path: POOL.handler(swallow)}))
+        await serve(self, self.address, Service({POOL.path: POOL.handler(ignore)}))
         self.assertIsNone(await self.client.place("engines", ORDER))
         await wait(lambda: bool(asked))
         self.assertIsNone(await self.client.place("engines", ORDER))
         self.assertEqual(len(asked), 1)
 
-    async def test_an_entry_that_owns_the_engines_asks_nobody(self) -> None:
+    async def test_entry_that_owns_the_engines_places_prompts_locally(self) -> None:
         self.asker.view.put_entries((make_record("127.0.0.1:9"),))
         placed = await self.client.place("engines", ORDER)
         assert placed is not None
         self.assertEqual(placed.target, "one")
 
-    async def test_other_services_are_not_placed(self) -> None:
+    async def test_prompts_of_services_without_engines_are_not_placed(self) -> None:
         self.asker.view.put_entries((make_record("127.0.0.1:9"),))
         self.assertIsNone(await self.client.place("desk", ORDER))
 
--- /dev/null
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_pool_targets.py
@@ -0,0 +1,70 @@
+"""Tests which targets of a pool are expected to begin a call on arrival."""
+
+import unittest
+from collections.abc import Callable
+
+from damsonlane.pools._room import UNKNOWN_SECONDS
+from damsonlane.routes import PoolTraits
+from damsonlane.targets import TargetRecord
+from damsonlaned.gateway._pool_targets import PoolTarget
+
+_RECORD = TargetRecord(
+    target="p1",
+    service="pool",
+    address="127.0.0.1:1",
+    data_centre="gulberg",
+    slots=1,
+    standing="live",
+    sequence=1,
+)
+_TRAITS = PoolTraits(
+    slots=1,
+    queue=2,
+    batch=4,
+    call_seconds=0.2,
+    piece_seconds=0.01,
+    room_bytes=1_000,
+    keep_seconds=4.0,
+)
+
+
+class ReadsAtOnceTest(unittest.TestCase):
+    def test_target_is_prompt_only_after_a_call_of_expected_duration(self) -> None:
+        cases: list[tuple[str, list[Callable[[PoolTarget], None]], bool]] = [
+            ("no call yet, another box may have sent one", [], False),
+            ("as expected", [lambda target: target.record_duration_ratio(1.0, 0.0)], True),
+            ("behind another call", [lambda target: target.record_duration_ratio(1.6, 0.0)], False),
+            (
+                "failed since",
+                [
+                    lambda target: target.record_duration_ratio(1.0, 0.0),
+                    lambda target: target.record_failure(0.0),
+                ],
+                False,
+            ),
+            (
+                "rejected a call since",
+                [
+                    lambda target: target.record_duration_ratio(1.0, 0.0),
+                    lambda target: target.record_rejection(0.0),
+                ],
+                False,
+            ),
+        ]
+        for name, events, expected in cases:
+            with self.subTest(name):
+                target = PoolTarget(_RECORD, _TRAITS)
+                for event in events:
+                    event(target)
+                self.assertEqual(target.reads_at_once(0.1), expected)
+
+    def test_target_recently_out_of_result_memory_is_not_expected_to_read_at_once(self) -> None:
+        target = PoolTarget(_RECORD, _TRAITS)
+        target.record_duration_ratio(1.0, 0.0)
+        target.result_memory.note_refused(10, 10, 0.0)
+        self.assertFalse(target.reads_at_once(0.1))
+        self.assertTrue(target.reads_at_once(UNKNOWN_SECONDS))
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_rate_limits.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_rate_limits.py
@@ -1,24 +1,7 @@
-"""A target names how many requests a second it takes from all boxes, and gets more.
-
-On an afternoon in December two of nine engines named a limit in their answers, about one request
-a second from all boxes together.  The eight entries went on as before: they sent the first one
-18 requests in four seconds and the second one 12, where 12 and 11 are borne at most.  No caller
-saw anything, but the engines had asked because they were in need.
-
-What settled it were the counts of four seconds at the two engines, 13 to 16 before they spoke and
-13 to 25 after, from seven entries each, and the lines of one second in which four entries sent to
-the same engine:
-
-    10.201  sent   entry of gulberg          10.588  sent   second entry of gulberg
-    10.224  sent   entry of johar            10.668  sent   entry of model town
-    10.321  sent   entry of gulberg          10.677  sent   entry of model town
-    10.542  sent   second entry of gulberg   10.863  sent   entry of model town
-
-The limit was read by nobody, and what an entry might have kept by itself would have added up:
-one request saved at each of eight boxes is more than the target bears.  The owner of a service
-issues a permit for each request to such a target now.  So what holds is counted over all boxes:
-however they share the limit, the target gets no more than it named, on whatever way the requests
-come.
+"""Tests that a target with a rate limit gets no more requests than it announced.
+
+Guards against entries that each keep the limit by themselves: requests are counted over all boxes,
+on every path on which they reach a target.
 """
 
 import asyncio
@@ -45,50 +28,50 @@
 )
 from damsonlaned.http import HttpHead, HttpRequest, HttpResponse, Reply
 
-#: Boxes before the same targets.
+#: Boxes that send to the same targets.
 BOXES = 4
-#: Requests that the callers of each box send in each case, one after the other.
+#: Requests that each box's caller sends in each case, one after the other.
 REQUESTS = 10
-#: Requests a second that the target takes.
+#: Rate limit of the target in requests per second.
 RATE = 0.1
-#: Seconds over which requests are counted.
+#: Length of the window in which requests are counted, in seconds.
 WINDOW = 4.0
-#: Requests that a target may get in that time: one and a half times its rate, and five more.
+#: Most requests that a target may get in the window: one and a half times its rate, plus five.
 ALLOWED = 1.5 * RATE * WINDOW + 5
-NAMES = (b"Damsonlane-Rate-Limit", str(RATE).encode())
+RATE_LIMIT_HEADER = (b"Damsonlane-Rate-Limit", str(RATE).encode())
 
 
 class Limited(StandIn):
-    """A target that names its limit in each answer, and notes when requests come."""
+    """A target that announces its rate limit in each answer and records arrival times."""
 
     def __init__(self, name: str, answer: Answer, service: str = "desk") -> None:
-        super().__init__(name, self._note_and_answer, service)
-        self._tell = answer
+        super().__init__(name, self._record_and_answer, service)
+        self._inner_answer = answer
         self.times: list[float] = []
 
-    async def _note_and_answer(self, request: HttpRequest, reply: Reply) -> None:
+    async def _record_and_answer(self, request: HttpRequest, reply: Reply) -> None:
         self.times.append(asyncio.get_running_loop().time())
-        await self._tell(request, _Naming(reply))  # type: ignore[arg-type]
+        await self._inner_answer(request, _ReplyWithLimit(reply))  # type: ignore[arg-type]
 
     def count_most(self) -> int:
-        """Return the most requests that came in some four seconds."""
+        """Return the most requests that arrived within any window."""
         return max(
             (sum(begin <= at < begin + WINDOW for at in self.times) for begin in self.times),
             default=0,
         )
 
 
-class _Naming:
-    """A reply that adds the limit to each head."""
+class _ReplyWithLimit:
+    """A reply that adds the rate limit header to each head."""
 
     def __init__(self, reply: Reply) -> None:
         self._reply = reply
 
     def send_whole(self, response: HttpResponse) -> None:
-        self._reply.send_whole(replace(response, headers=(*response.headers, NAMES)))
+        self._reply.send_whole(replace(response, headers=(*response.headers, RATE_LIMIT_HEADER)))
 
     def start(self, head: HttpHead) -> None:
-        self._reply.start(replace(head, headers=(*head.headers, NAMES)))
+        self._reply.start(replace(head, headers=(*head.headers, RATE_LIMIT_HEADER)))
 
     async def send(self, data: bytes) -> None:
         await self._reply.send(data)
@@ -101,7 +84,7 @@
 
 
 class Case:
-    """One way to a target: the one that names a limit, others, and the requests that go there."""
+    """A request path to targets, of which one announces a rate limit."""
 
     def __init__(self, path: str, limited: Limited, *others: StandIn, headers: str = "") -> None:
         self.path = path
@@ -110,28 +93,28 @@
         self.headers = headers
 
 
-def refuse_without_word(request_id: bytes) -> HttpResponse:
+def make_rejection(request_id: bytes) -> HttpResponse:
     headers = ((b"Damsonlane-Request-Id", request_id), (b"Damsonlane-Run-No", b"1"))
     return HttpResponse(status=503, headers=headers)
 
 
-async def turn_away(request: HttpRequest, reply: Reply) -> None:
-    reply.send_whole(refuse_without_word(read_id(request)))
+async def reject(request: HttpRequest, reply: Reply) -> None:
+    reply.send_whole(make_rejection(read_id(request)))
 
 
-def make_limited_maker(name: str) -> Limited:
-    """Return a pool target that makes pieces and names its limit."""
-    made: list[Limited] = []
-    made.append(Limited(name, make_pieces(lambda: made[0].address), "pool"))
-    return made[0]
+def make_limited_pool_target(name: str) -> Limited:
+    """Return a pool target that computes pieces and announces its rate limit."""
+    created: list[Limited] = []
+    created.append(Limited(name, make_pieces(lambda: created[0].address), "pool"))
+    return created[0]
 
 
 def make_cases() -> dict[str, Case]:
-    """Return the ways to a target."""
+    """Return a case for each request path to a target."""
     return {
         "plain": Case("/plain/a", Limited("t1", answer_well), StandIn("t2", answer_well)),
         "once": Case("/once/a", Limited("t1", answer_well), StandIn("t2", answer_well)),
-        "turned away": Case("/once/a", Limited("t1", turn_away), StandIn("t2", answer_well)),
+        "turned away": Case("/once/a", Limited("t1", reject), StandIn("t2", answer_well)),
         "prompt": Case(
             "/prompt/a",
             Limited("e1", stream_events(1, 3), "model"),
@@ -151,7 +134,7 @@
         ),
         "pieces": Case(
             "/pieces/a",
-            make_limited_maker("p1"),
+            make_limited_pool_target("p1"),
             make_maker("p2"),
             StandIn("t2", answer_well),
             headers=ONE_PIECE,
@@ -161,7 +144,7 @@
 
 class RateLimitTest(unittest.IsolatedAsyncioTestCase):
     async def start(self, *targets: StandIn) -> tuple[Fleet, dict[str, TargetRecord]]:
-        """Start targets and boxes that know them."""
+        """Start targets and a fleet that lists them."""
         records: dict[str, TargetRecord] = {}
         for target in targets:
             records[target.name] = await target.start()
@@ -171,39 +154,41 @@
         return fleet, records
 
     async def send_all(self, entry: Entry, case: Case) -> list[int]:
-        """Send the requests of a box's callers; return the statuses of their answers."""
+        """Send the requests of a box's caller; return the answers' statuses, 0 if broken."""
         statuses: list[int] = []
         for _ in range(REQUESTS):
             response = await entry.call(case.path, headers=case.headers, deadline_ms=8_000)
             statuses.append(response.status if response.is_whole() else 0)
-            # Results are given up some milliseconds after the answer.
+            # Results are freed some milliseconds after the answer.
             await asyncio.sleep(0.02)
         return statuses
 
-    async def play(self, case: Case) -> tuple[int, list[int]]:
-        """Return the most that a limited target got once all boxes were told, and failures."""
+    async def run_case(self, case: Case) -> tuple[int, list[int]]:
+        """Return the most requests in a window once all boxes know the limit, and failures."""
         fleet, records = await self.start(case.limited, *case.others)
         first = dict(records)
         for other in case.others:
             if other.service == case.limited.service:
                 del first[other.name]
         fleet.put_targets(*first.values())
-        told = [entry.call(case.path, headers=case.headers) for entry in fleet.entries]
-        await asyncio.gather(*told)
+        announcing = [entry.call(case.path, headers=case.headers) for entry in fleet.entries]
+        await asyncio.gather(*announcing)
         fleet.put_targets(*records.values())
         case.limited.times.clear()
         sent = [self.send_all(entry, case) for entry in fleet.entries]
         statuses = [status for each in await asyncio.gather(*sent) for status in each]
         return case.limited.count_most(), [status for status in statuses if status != 200]
 
-    async def test_a_target_gets_no_more_than_it_names_from_all_boxes_together(self) -> None:
-        counts = {name: await self.play(case) for name, case in make_cases().items()}
+    async def test_requests_of_all_boxes_together_stay_within_the_rate_limit(self) -> None:
+        counts = {name: await self.run_case(case) for name, case in make_cases().items()}
         over = {name: most for name, (most, _) in counts.items() if most > ALLOWED}
         self.assertEqual(over, {})
-        # Where another target is free nobody is refused.
+        # No request is refused while another target is free.
         self.assertEqual({name: failed for name, (_, failed) in counts.items() if failed}, {})
 
-    async def test_callers_are_told_at_once_when_all_targets_are_at_their_rates(self) -> None:
+    async def test_callers_are_refused_immediately_if_all_targets_are_at_their_rate_limits(
+        self,
+    ) -> None:
         targets = [Limited(f"t{number}", answer_well) for number in range(2)]
         fleet, _ = await self.start(*targets)
         case = Case("/plain/a", targets[0])
@@ -214,7 +199,7 @@
             self.assertLessEqual(target.count_most(), ALLOWED)
         response = await fleet.entries[0].call("/plain/a", deadline_ms=8_000)
         self.assertEqual(response.status, 503)
-        # Five seconds pass from one place to the next at each of the two.
+        # Each of the two targets takes one request in five seconds.
         self.assertGreater(read_wait(response), 1.0)
 
 
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_stages.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_stages.py
@@ -1,4 +1,4 @@
-"""Stages of a request: what is given up when, with a pool target that a test writes."""
+"""Tests when the results of a request's stages are freed, with a scripted pool target."""
 
 import asyncio
 import json
@@ -22,12 +22,12 @@
 )
 from damsonlaned.http import HttpRequest, HttpResponse, Reply
 
-#: Of the only request in these tests, which has two stages of one piece each.
+#: Headers of every request in these tests: two stages of one piece each.
 HEADERS = "Damsonlane-Pieces: 1,1\r\nDamsonlane-Material-Key: m\r\n"
 
 
 def make_document() -> RoutingDocument:
-    """Return the usual document with pool calls that are given much time."""
+    """Return the default document with long timeouts for pool calls and requests."""
     services = tuple(
         replace(service, pool=replace(service.pool, call_seconds=PATIENCE / 4))
         if service.pool is not None
@@ -42,67 +42,67 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Seen:
-    """A call that the pool target got."""
+class ReceivedCall:
+    """A call that the pool target received."""
 
-    #: The stage that it makes, or None for a call that gives results up.
+    #: The stage that it computes, or None for a call that frees results.
     stage: int | None
-    #: The results that it gives up.
+    #: Handles of the results that it frees.
     freed: tuple[str, ...] = ()
 
 
 async def lose_inputs(request: HttpRequest, reply: Reply) -> None:
-    """Answer that the inputs of every piece are gone."""
+    """Answer that the inputs of every piece are lost."""
     pieces = [{"fault": "lost-input"} for _ in json.loads(request.body)["pieces"]]
     reply.send_whole(HttpResponse(status=200, body=json.dumps({"pieces": pieces}).encode()))
 
 
 class Pool:
-    """A pool target that notes its calls and makes pieces, or answers as told."""
+    """A pool target that records its calls and computes pieces, or answers as scripted."""
 
     def __init__(self) -> None:
         self._second: list[Answer] = []
-        self.seen: list[Seen] = []
+        self.calls: list[ReceivedCall] = []
         self.freed = asyncio.Event()
         self.target = StandIn("p1", self._answer, "pool")
         self.make = make_pieces(lambda: self.target.address)
 
     def answer_second_stage(self, *answers: Answer) -> None:
-        """Answer the calls of the second stage as given, in turn; the last one stays."""
+        """Set the answers to calls of the second stage, in turn; the last one repeats."""
         self._second = list(answers)
 
     def has_freed(self, name: str) -> bool:
-        """Tell whether a result was given up, by the end of its handle."""
-        return any(handle.endswith(name) for call in self.seen for handle in call.freed)
+        """Return whether a result was freed, by the end of its handle."""
+        return any(handle.endswith(name) for call in self.calls for handle in call.freed)
 
     def stages(self) -> list[int]:
-        """Return the stages of the calls that make pieces."""
-        return [call.stage for call in self.seen if call.stage is not None]
+        """Return the stages of the calls that compute pieces."""
+        return [call.stage for call in self.calls if call.stage is not None]
 
     async def make_once_freed(self, request: HttpRequest, reply: Reply) -> None:
-        """Make the pieces, but only once results were given up."""
+        """Compute the pieces once results were freed."""
         await self.freed.wait()
         await self.make(request, reply)
 
     async def cut_once_freed(self, request: HttpRequest, reply: Reply) -> None:
-        """Break off, but only once results were given up."""
+        """Abort the answer once results were freed."""
         await self.freed.wait()
         await cut(request, reply)
 
     async def _answer(self, request: HttpRequest, reply: Reply) -> None:
         body = json.loads(request.body)
         if request.path.endswith("/free"):
-            self.seen.append(Seen(stage=None, freed=tuple(body["handles"])))
+            self.calls.append(ReceivedCall(stage=None, freed=tuple(body["handles"])))
             self.freed.set()
             await self.make(request, reply)
             return
         stage = body["pieces"][0]["stage"]
-        self.seen.append(Seen(stage=stage))
+        self.calls.append(ReceivedCall(stage=stage))
         answer = self.make if stage == 0 else self._next_answer()
         await answer(request, reply)
 
     def _next_answer(self) -> Answer:
-        """Return how the next call of the second stage is answered."""
+        """Return the answer to the next call of the second stage."""
         return self._second.pop(0) if len(self._second) > 1 else self._second[0]
 
 
@@ -130,35 +130,31 @@
             while not condition():
                 await asyncio.sleep(0.01)
 
-    async def test_inputs_are_given_up_while_the_pieces_that_read_them_are_made(self) -> None:
+    async def test_inputs_are_freed_while_the_pieces_that_read_them_run(self) -> None:
         pool = Pool()
         pool.answer_second_stage(pool.make_once_freed)
         self.assertEqual(await self.call(pool), 200)
-        self.assertEqual([call.stage for call in pool.seen[:3]], [0, 1, None])
-        self.assertTrue(pool.seen[2].freed[0].endswith("r1-0-0"))
-        # The result of the second stage goes to the last step, and is given up after it.
-        await self.wait_for(lambda: len(pool.seen) == 4)
-        self.assertTrue(pool.seen[3].freed[0].endswith("r1-1-0"))
-
-    async def test_a_call_that_fails_after_its_inputs_were_given_up_costs_the_stages_anew(
-        self,
-    ) -> None:
+        self.assertEqual([call.stage for call in pool.calls[:3]], [0, 1, None])
+        self.assertTrue(pool.calls[2].freed[0].endswith("r1-0-0"))
+        # The result of the second stage is the input of the last step, and is freed after it.
+        await self.wait_for(lambda: len(pool.calls) == 4)
+        self.assertTrue(pool.calls[3].freed[0].endswith("r1-1-0"))
+
+    async def test_stages_rerun_if_a_call_fails_after_its_inputs_were_freed(self) -> None:
         pool = Pool()
         pool.answer_second_stage(pool.cut_once_freed, lose_inputs, pool.make)
         self.assertEqual(await self.call(pool), 200)
         self.assertEqual(pool.stages(), [0, 1, 1, 0, 1])
         self.assertEqual(len(self.desk.requests), 1)
 
-    async def test_inputs_are_kept_for_another_try_where_nobody_waits_for_their_room(
-        self,
-    ) -> None:
+    async def test_inputs_are_kept_for_a_retry_if_no_piece_waits_for_memory(self) -> None:
         pool = Pool()
         pool.answer_second_stage(cut, pool.make)
         self.assertEqual(await self.call(pool, has_queue=False), 200)
         self.assertEqual(pool.stages(), [0, 1, 1])
         self.assertEqual(len(self.desk.requests), 1)
 
-    async def test_results_are_given_up_while_the_last_step_reads_its_prompt(self) -> None:
+    async def test_results_are_freed_while_the_last_step_reads_its_prompt(self) -> None:
         pool = Pool()
         pool.answer_second_stage(pool.make)
 
@@ -170,7 +166,7 @@
         self.assertEqual(await self.call(pool), 200)
         self.assertEqual(pool.stages(), [0, 1])
 
-    async def test_a_last_step_that_fails_after_that_costs_the_stages_anew(self) -> None:
+    async def test_stages_rerun_if_the_last_step_fails_after_its_inputs_were_freed(self) -> None:
         pool = Pool()
         pool.answer_second_stage(pool.make)
 
@@ -183,7 +179,7 @@
         self.assertEqual(pool.stages(), [0, 1, 0, 1])
         self.assertEqual(len(self.desk.requests), 2)
 
-    async def test_results_are_kept_for_another_target_where_nobody_waits(self) -> None:
+    async def test_results_are_kept_for_another_target_if_no_piece_waits(self) -> None:
         pool = Pool()
         pool.answer_second_stage(pool.make)
 
