--- a/packages/damsonlaned/src/damsonlaned/gateway/_endings.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_failure_responder.py
@@ -4,10 +4,10 @@
 
 from damsonlane.quarantine import HeldRequest
 from damsonlaned.dialects import Refusal
-from damsonlaned.gateway._final_answer import FinalAnswer
+from damsonlaned.gateway._attempt_history import Tries
+from damsonlaned.gateway._failed_attempt import Unserved
+from damsonlaned.gateway._final_response import FinalAnswer
 from damsonlaned.gateway._stages import StageError
-from damsonlaned.gateway._tries import Tries
-from damsonlaned.gateway._unserved import Unserved
 from damsonlaned.quarantine import find_retry_seconds
 
 #: Seconds after which a caller that met a full service should come back.
--- a/packages/damsonlaned/src/damsonlaned/gateway/_node.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_node.py
@@ -16,10 +16,10 @@
 from damsonlaned.admin import Admin
 from damsonlaned.dialects import DIALECTS
 from damsonlaned.gateway._attempts import Attempts
-from damsonlaned.gateway._callers import CallerService, GatewayParts
+from damsonlaned.gateway._caller_service import CallerService, GatewayParts
+from damsonlaned.gateway._control_follower import FleetLink
 from damsonlaned.gateway._ended_targets import EndedTargets
 from damsonlaned.gateway._limit_reports import LimitReports
-from damsonlaned.gateway._link import FleetLink
 from damsonlaned.gateway._permit_client import PermitClient
 from damsonlaned.gateway._placement_client import PlacementClient
 from damsonlaned.gateway._placer import PromptPlacers
--- a/packages/damsonlaned/src/damsonlaned/gateway/_request_handler.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_request_handler.py
@@ -9,12 +9,14 @@
 from damsonlane.quarantine import BrokenRun
 from damsonlane.routing import Health
 from damsonlaned.dialects import Dialect
+from damsonlaned.gateway._attempt_history import Tries
 from damsonlaned.gateway._attempts import Attempts, Opened
 from damsonlaned.gateway._call import Call
 from damsonlaned.gateway._ended_targets import EndedTargets
-from damsonlaned.gateway._endings import Endings
 from damsonlaned.gateway._events import EventSplitter, EventTooLargeError, StreamSilentError
-from damsonlaned.gateway._final_answer import FinalAnswer
+from damsonlaned.gateway._failed_attempt import Unserved
+from damsonlaned.gateway._failure_responder import Endings
+from damsonlaned.gateway._final_response import FinalAnswer
 from damsonlaned.gateway._limited_places import NoPlace
 from damsonlaned.gateway._read_timer import ReadTimer
 from damsonlaned.gateway._request_times import RequestTimes
@@ -22,8 +24,6 @@
 from damsonlaned.gateway._stages import StageError, StageRunner
 from damsonlaned.gateway._target_wait import TargetWait, describe_nowhere
 from damsonlaned.gateway._targets import Chosen
-from damsonlaned.gateway._tries import Tries
-from damsonlaned.gateway._unserved import Unserved
 from damsonlaned.http import (
     BrokenAnswerError,
     CallerGoneError,
--- a/packages/damsonlaned/src/damsonlaned/gateway/_target_wait.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_target_wait.py
@@ -3,16 +3,16 @@
 import asyncio
 from typing import Final
 
+from damsonlaned.gateway._attempt_history import Tries
 from damsonlaned.gateway._attempts import Attempts
 from damsonlaned.gateway._call import Call
-from damsonlaned.gateway._endings import Endings
-from damsonlaned.gateway._final_answer import FinalAnswer
+from damsonlaned.gateway._failed_attempt import Unserved
+from damsonlaned.gateway._failure_responder import Endings
+from damsonlaned.gateway._final_response import FinalAnswer
 from damsonlaned.gateway._limited_places import LEAST_PAUSE_SECONDS, NoPlace
 from damsonlaned.gateway._stage_work import StageResults
 from damsonlaned.gateway._stages import StageRunner
 from damsonlaned.gateway._targets import Chosen
-from damsonlaned.gateway._tries import Tries
-from damsonlaned.gateway._unserved import Unserved
 
 
 class TargetWait:
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/harness.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/harness.py
@@ -21,7 +21,7 @@
 from damsonlane.targets import TargetChanges, TargetRecord
 from damsonlaned.dialects import NativeDialect
 from damsonlaned.gateway._attempts import Attempts
-from damsonlaned.gateway._callers import CallerService, GatewayParts
+from damsonlaned.gateway._caller_service import CallerService, GatewayParts
 from damsonlaned.gateway._ended_targets import EndedTargets
 from damsonlaned.gateway._permit_client import PermitClient
 from damsonlaned.gateway._placement_client import PlacementClient
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_links.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_links.py
@@ -27,7 +27,7 @@
     Service,
 )
 from damsonlaned.dialects import NativeDialect
-from damsonlaned.gateway._link import FleetLink
+from damsonlaned.gateway._control_follower import FleetLink
 from damsonlaned.gateway._placer import PromptPlacers
 from damsonlaned.gateway._pool_service import PoolService
 from damsonlaned.gateway._view import FleetView
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_start.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_start.py
@@ -4,8 +4,8 @@
 import unittest
 from unittest import mock
 
-from damsonlaned.gateway import _callers
-from damsonlaned.gateway._callers import START_RETRY_SECONDS, USUAL_START_SECONDS
+from damsonlaned.gateway import _caller_service
+from damsonlaned.gateway._caller_service import START_RETRY_SECONDS, USUAL_START_SECONDS
 from damsonlaned.gateway.tests.harness import PATIENCE, Entry, StandIn, answer_well
 
 
@@ -45,7 +45,7 @@
         self.addAsyncCleanup(entry.stop)
         # Started in the future, so that a slow machine changes nothing.
         entry.callers._started_at = asyncio.get_running_loop().time() + 60  # type: ignore[misc]
-        with mock.patch.object(_callers, "START_HOLD_SECONDS", PATIENCE):
+        with mock.patch.object(_caller_service, "START_HOLD_SECONDS", PATIENCE):
             waiting = asyncio.create_task(entry.call("/ping/a"))
             while not (entry.callers.in_flight() or waiting.done()):
                 await asyncio.sleep(0.001)
@@ -63,7 +63,7 @@
         self.addAsyncCleanup(entry.stop)
         # Started in the future, so that a slow machine changes nothing.
         entry.callers._started_at = asyncio.get_running_loop().time() + 60  # type: ignore[misc]
-        with mock.patch.object(_callers, "START_HOLD_SECONDS", PATIENCE):
+        with mock.patch.object(_caller_service, "START_HOLD_SECONDS", PATIENCE):
             _, writer = await entry.send("/ping/a")
             async with asyncio.timeout(PATIENCE):
                 while not entry.callers.in_flight():
