--- a/packages/damsonlaned/src/damsonlaned/gateway/__init__.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""An entry that serves routes: whole answers and event streams, stages made in shared pools."""
+"""An entry that serves routes: whole responses, event streams, and stages in shared pools."""
 
 from damsonlaned.gateway._node import GatewayNode
 
--- a/packages/damsonlaned/src/damsonlaned/gateway/_attempt_history.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_attempt_history.py
@@ -1,30 +1,29 @@
-"""What one request has been through at targets, and whether another one may get it."""
+"""The attempts of one request, and whether it may be retried."""
 
 from typing import Final
 
 from damsonlaned.gateway._call import Call
 
-#: Share of the time left that one attempt gets where another may follow.
+#: Share of the time left that one attempt gets where a retry may follow.
 ATTEMPT_SHARE: Final = 0.5
 #: Least time for one attempt, in seconds.
-LEAST_ATTEMPT_SECONDS: Final = 0.08
-#: Targets that one request is offered to while none has run it.
-MOST_OFFERS: Final = 3
-#: The same, with those that turned it away and said how much they take, or when.  Each of them
-#: gets nothing more for a while, so a request reaches the one that is free.
-MOST_TOLD_OFFERS: Final = 12
-#: Seconds of silence in an event stream after which it is taken up elsewhere,
-#: as a multiple of the longest pause in aim.
-PAUSES_TO_RESUME: Final = 3.0
-#: Longest pause assumed where a route names none, in seconds.
-UNTOLD_PAUSE_SECONDS: Final = 1.0
-#: Seconds added to the time left where no other target may follow: the deadline
-#: itself ends the request then.
+MIN_ATTEMPT_SECONDS: Final = 0.08
+#: Attempts for one request, those apart that a target rejected with a back-off or a rate limit.
+MAX_ATTEMPTS: Final = 3
+#: Attempts for one request, including those.  A target that announces a back-off or a rate limit
+#: gets nothing more for a while, so that requests reach the target that is free.
+MAX_THROTTLED_ATTEMPTS: Final = 12
+#: Silence after which an event stream is resumed at another target, as a multiple of the
+#: longest pause that the route's objective allows.
+RESUME_PAUSE_FACTOR: Final = 3.0
+#: Longest pause assumed where a route sets none, in seconds.
+DEFAULT_PAUSE_SECONDS: Final = 1.0
+#: Seconds added to the time left where no retry may follow, so that the deadline ends the request.
 _BEYOND_DEADLINE_SECONDS: Final = 1.0
 
 
-class Tries:
-    """The offers of one request to targets.
+class AttemptHistory:
+    """The attempts of one request at targets.
 
     Args:
         call: the request.
@@ -32,70 +31,73 @@
 
     def __init__(self, call: Call) -> None:
         self._call: Final = call
-        self._ran_on = 0
-        self._told_off = 0
-        #: Offers to targets so far.
-        self.offers = 0
-        #: Names of the targets that it was offered to.
-        self.tried: Final[set[str]] = set()
-        #: Whether it may have run somewhere.
+        self._possible_runs = 0
+        self._throttled = 0
+        #: Attempts so far.
+        self.attempt_count = 0
+        #: Names of the targets that it was sent to.
+        self.tried_targets: Final[set[str]] = set()
+        #: Whether it may have run at a target.
         self.may_have_run = False
 
-    def note_offer(self, target: str) -> None:
-        """Note that the request goes to a target."""
-        self.offers += 1
-        self.tried.add(target)
+    def record_attempt(self, target: str) -> None:
+        """Record that the request is sent to a target."""
+        self.attempt_count += 1
+        self.tried_targets.add(target)
 
-    def note_unserved(self, *, may_have_run: bool, is_told_off: bool = False) -> None:
-        """Note that an attempt gave the caller nothing.
+    def record_failure(self, *, may_have_run: bool, is_throttled: bool = False) -> None:
+        """Record a failed attempt.
 
         Args:
-            may_have_run: whether it may have run there.
-            is_told_off: whether the target said how much it takes, or when.
+            may_have_run: whether the request may have run at the target.
+            is_throttled: whether the target rejected it and announced a back-off or a rate limit.
         """
-        self._told_off += is_told_off
+        self._throttled += is_throttled
         if may_have_run:
             self.may_have_run = True
-            self._ran_on += 1
+            self._possible_runs += 1
 
-    def silence_seconds(self) -> float:
-        """Return how long a target may be silent before its answer begins."""
+    def response_timeout_seconds(self) -> float:
+        """Return the time-out for the head of a response, in seconds."""
         remaining = self._call.remaining()
-        if self._call.route.is_repeatable() and not self._is_last_run():
-            return max(LEAST_ATTEMPT_SECONDS, ATTEMPT_SHARE * remaining)
+        if self._call.route.is_repeatable() and not self._is_last_allowed_run():
+            return max(MIN_ATTEMPT_SECONDS, ATTEMPT_SHARE * remaining)
         return remaining + _BEYOND_DEADLINE_SECONDS
 
     def pause_seconds(self, *, has_begun: bool) -> float:
-        """Return for how long an event stream may be silent.
+        """Return the time-out for the next part of an event stream, in seconds.
 
         Args:
-            has_begun: whether the caller has a part of its answer.
+            has_begun: whether the caller has a part of the response.
         """
         route = self._call.route
         remaining = self._call.remaining()
-        if not route.is_resumable or self._is_last_run():
+        if not route.is_resumable or self._is_last_allowed_run():
             return remaining + _BEYOND_DEADLINE_SECONDS
-        pause = route.pause_seconds or UNTOLD_PAUSE_SECONDS
+        pause = route.pause_seconds or DEFAULT_PAUSE_SECONDS
         first = route.aim_seconds if not has_begun else 0.0
-        return PAUSES_TO_RESUME * pause + first
+        return RESUME_PAUSE_FACTOR * pause + first
 
-    def may_go_on(self, *, has_begun: bool) -> bool:
-        """Tell whether another target may get the request, the fleet's budget apart.
+    def may_retry(self, *, has_begun: bool) -> bool:
+        """Return whether the request may be retried, the fleet's retry budget apart.
 
         Args:
-            has_begun: whether the caller has a part of its answer.
+            has_begun: whether the caller has a part of the response.
         """
         route = self._call.route
-        if self._call.remaining() < LEAST_ATTEMPT_SECONDS or self.offers == 0:
+        if self._call.remaining() < MIN_ATTEMPT_SECONDS or self.attempt_count == 0:
             return False
         if has_begun and not route.is_resumable:
             return False
         if self.may_have_run and not route.is_repeatable():
             return False
-        if self._ran_on >= max(1, route.most_targets):
+        if self._possible_runs >= max(1, route.most_targets):
             return False
-        return self.offers - self._told_off < MOST_OFFERS and self.offers < MOST_TOLD_OFFERS
-
-    def _is_last_run(self) -> bool:
-        """Tell whether no target may run it after the one that has it now."""
-        return self._ran_on + 1 >= self._call.route.most_targets
+        return (
+            self.attempt_count - self._throttled < MAX_ATTEMPTS
+            and self.attempt_count < MAX_THROTTLED_ATTEMPTS
+        )
+
+    def _is_last_allowed_run(self) -> bool:
+        """Return whether the attempt under way is the last one that may run the request."""
+        return self._possible_runs + 1 >= self._call.route.most_targets
--- a/packages/damsonlaned/src/damsonlaned/gateway/_attempts.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_attempts.py
@@ -1,4 +1,4 @@
-"""Sending a request to one target and reading the head of its own answer."""
+"""Send a request to one target and read the head of its own response."""
 
 import asyncio
 import logging
@@ -19,44 +19,44 @@
 
 _LOG: Final = logging.getLogger(__name__)
 
-#: Seconds for which a connection may take; boxes are a few milliseconds apart,
-#: and a first packet that was lost is only sent again after a second.
+#: Time-out for opening a connection, in seconds.  Boxes are a few milliseconds apart, and a lost
+#: first packet is retransmitted only after a second.
 CONNECT_SECONDS: Final = 0.2
-#: Seconds that the way of an answer back to the caller is reckoned to take.
-RETURN_SECONDS: Final = 0.01
-#: Answers to other requests that are passed over on one connection.
-MOST_SKIPPED: Final = 3
-#: Share of the allowed repeats that is used, since boxes do not see each other's.
+#: Time assumed for the response to get from the target back to the caller, in seconds.
+RESPONSE_TRANSIT_SECONDS: Final = 0.01
+#: Responses to other requests that are skipped on one connection.
+MAX_SKIPPED_RESPONSES: Final = 3
+#: Share of the allowed retries that is used, since boxes do not see each other's.
 BUDGET_SHARE: Final = 0.7
-#: Least urgent value that targets know.
+#: Largest urgency value that targets accept; it is the least urgent.
 LEAST_URGENT: Final = 9
 
 
 @dataclass(frozen=True, kw_only=True)
-class Opened:
-    """A request that was sent and whose answer has begun."""
+class OpenedExchange:
+    """A request that was sent and whose response has begun."""
 
     #: The target.
     chosen: Chosen
     #: The exchange, whose body is still to be read.
     exchange: SentExchange
-    #: Head of the answer.
+    #: Head of the response.
     head: HttpHead
-    #: What the head says.
+    #: Signals of the target in the head.
     signs: AnswerSigns
 
 
 class Attempts:
-    """Sends requests within the fleet's budget of repeats.
+    """Sends requests to targets, within the fleet's retry budget.
 
     Args:
         targets: chooses targets.
-        placements: has prompts placed at engines.
-        permits: gets permits for targets that named rate limits.
-        dialect: writes requests and reads answers.
-        share: requests sent again, as a share of first ones, that the fleet may make.
+        placements: requests the placement of prompts at engines.
+        permits: requests permits for targets that announced rate limits.
+        dialect: renders requests and reads responses.
+        share: retries that the fleet may make, as a share of first attempts.
         window: seconds over which that share is counted.
-        slack: requests sent again in one window that the fleet may make besides.
+        slack: retries that the fleet may make in one window besides that share.
     """
 
     def __init__(
@@ -86,19 +86,19 @@
         Args:
             call: the request.
             avoid: targets that failed it already.
-            places: where the results that it needs lie.
+            places: where its stage results are stored.
         """
-        placed = await self._have_placed(call, avoid, places)
+        placed = await self._place_prompt(call, avoid, places)
         return placed or await self._places.choose(call.service, _find_prompt(call), avoid)
 
     async def find_begin_wait(self, call: Call) -> NoPlace | None:
-        """Return when a request may begin whose stages are made first; None for now."""
+        """Return why a request may not begin its stages yet; None if it may begin now."""
         return await self._places.find_begin_wait(call.service)
 
-    async def _have_placed(
+    async def _place_prompt(
         self, call: Call, avoid: Collection[str], places: Sequence[InputPlace]
     ) -> Chosen | None:
-        """Have a prompt placed at an engine; None where this entry must choose by itself."""
+        """Request the placement of a prompt; None where this entry chooses the engine itself."""
         if call.service.engine is None:
             return None
         unusable = {*avoid, *self._targets.list_unusable(call.service)}
@@ -109,23 +109,23 @@
         return self._targets.take_placed(call.service, placed)
 
     def find_return_seconds(self, call: Call) -> float:
-        """Return how long all targets that may get a request want nothing; 0 if one may."""
+        """Return the seconds for which all targets of a request back off; 0 if one does not."""
         return self._targets.find_return_seconds(call.service)
 
-    def note_arrival(self, call: Call) -> None:
-        """Note a request that arrived."""
-        self._targets.note_prompt(call.service, _find_prompt(call))
+    def record_arrival(self, call: Call) -> None:
+        """Record the arrival of a request."""
+        self._targets.record_prompt(call.service, _find_prompt(call))
 
     def count_first(self, call: Call) -> None:
-        """Count the first sending of a request."""
+        """Count the first attempt of a request, which adds to the retry budget."""
         self._budget(call).count_first(self._now())
 
-    def may_repeat(self, call: Call, entries: int) -> bool:
-        """Tell whether a request may be sent once more, and count it."""
+    def try_spend_retry(self, call: Call, entries: int) -> bool:
+        """Return whether a request may be retried, and charge the retry budget for it."""
         slack = BUDGET_SHARE * self._slack / max(1, entries)
         is_allowed = self._budget(call).try_spend(self._now(), slack)
         if not is_allowed:
-            _LOG.info("no budget for a repeat", extra=call.log_fields())
+            _LOG.info("retry budget exhausted", extra=call.log_fields())
         return is_allowed
 
     async def open(
@@ -135,23 +135,23 @@
         inputs: tuple[str, ...],
         last_event: str | None,
         on_sent: Callable[[], None] = lambda: None,
-    ) -> Opened:
-        """Send a request and read the head of its answer.
+    ) -> OpenedExchange:
+        """Send a request and read the head of its response.
 
         Args:
             call: the request.
             chosen: the target that gets it.
-            inputs: handles of the results that it needs.
-            last_event: the last event that the caller has, if its stream goes on.
+            inputs: handles of its stage results.
+            last_event: id of the last event that the caller has, if its stream is resumed.
             on_sent: called once the request was sent.
 
         Raises:
-            NotSentError: it was not sent.
-            BrokenAnswerError: it was sent and no answer came.
+            NotSentError: the request was not sent.
+            BrokenAnswerError: it was sent and the connection broke before its response.
         """
         attempt = Attempt(
             target=chosen.target,
-            remaining_seconds=call.remaining() - RETURN_SECONDS,
+            remaining_seconds=call.remaining() - RESPONSE_TRANSIT_SECONDS,
             organisation=call.organisation.name if call.organisation is not None else "",
             urgency=min(LEAST_URGENT, call.rank) if call.service.engine is not None else None,
             inputs=inputs,
@@ -176,21 +176,21 @@
         except BaseException:
             exchange.finish()
             raise
-        return Opened(chosen=chosen, exchange=exchange, head=head, signs=signs)
+        return OpenedExchange(chosen=chosen, exchange=exchange, head=head, signs=signs)
 
-    def finish(self, opened: Opened, health: Health) -> None:
-        """End an attempt: give back its connection and note how the target did."""
+    def finish(self, opened: OpenedExchange, health: Health) -> None:
+        """End an attempt: return its connection and record the health of the target."""
         opened.exchange.finish()
         if opened.head.status == 421:
-            self._targets.note_misdirected(opened.chosen)
+            self._targets.record_misdirected(opened.chosen)
         if health == "bad" and opened.signs.says_what_it_takes():
-            # It is well and says what it takes: ejected for three such answers it would
-            # stay away longer than it asked.
+            # The target is healthy and announced a back-off or a rate limit.  Ejected for three
+            # such responses, it would get nothing for longer than it requested.
             health = "neutral"
         self._targets.finish(opened.chosen, health, load=opened.signs.load)
 
     def finish_unopened(self, chosen: Chosen, health: Health) -> None:
-        """End an attempt to which no answer began."""
+        """End an attempt without a response."""
         if chosen.placed is not None and health == "bad":
             chosen.placed.note_read(None)
         self._targets.finish(chosen, health)
@@ -198,17 +198,17 @@
     async def _read_own_head(
         self, exchange: SentExchange, call: Call, chosen: Chosen
     ) -> tuple[HttpHead, AnswerSigns]:
-        """Return the head of this request's answer, passing over those of others."""
-        for _ in range(MOST_SKIPPED + 1):
+        """Return the head of the response to this request, skipping those to others."""
+        for _ in range(MAX_SKIPPED_RESPONSES + 1):
             head = await exchange.read_head()
             signs = self._dialect.read_signs(head)
-            is_own = signs.request_id == call.request.request_id or _is_unnamed_refusal(signs)
-            # An answer to another request says just as well how its target is, or was.
-            self._targets.note_signs(chosen, signs, is_own=is_own)
+            is_own = signs.request_id == call.request.request_id or _is_rejection_without_id(signs)
+            # A response to another request carries signals of the target, too.
+            self._targets.record_signals(chosen, signs, is_own=is_own)
             if is_own:
                 return head, signs
             _LOG.warning(
-                "answer of another request",
+                "skipped the response to another request",
                 extra={**call.log_fields(), "other": signs.request_id},
             )
             await exchange.skip_answer()
@@ -235,7 +235,7 @@
 def _make_prompt_order(
     call: Call, avoid: tuple[str, ...], places: tuple[InputPlace, ...]
 ) -> PromptOrder:
-    """Return the order to place the prompt of a request; the client gives it its number."""
+    """Return the order to place the prompt of a request; the client sets its number."""
     now = asyncio.get_running_loop().time()
     return PromptOrder(
         number=0,
@@ -250,6 +250,6 @@
     )
 
 
-def _is_unnamed_refusal(signs: AnswerSigns) -> bool:
-    """A target that turns a request away may do so before it reads the id."""
+def _is_rejection_without_id(signs: AnswerSigns) -> bool:
+    """Return whether a target rejected a request before it read the id."""
     return signs.request_id is None and signs.has_not_run
--- a/packages/damsonlaned/src/damsonlaned/gateway/_call.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_call.py
@@ -1,4 +1,4 @@
-"""One caller's request on its way through this entry."""
+"""A caller's request and what was decided about it on its arrival."""
 
 import asyncio
 from dataclasses import dataclass
@@ -10,46 +10,46 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Call:
-    """A request with what was decided on its arrival, by one version of the document."""
+    """A request with what one version of the routing document decides about it."""
 
     #: The request.
     request: CallerRequest
     #: Its route.
     route: Route
-    #: The document that it met.
+    #: The routing document in force when it arrived.
     table: RouteTable
     #: The service that it goes to.
     service: Service
     #: Organisation of its caller; None on a route open to all.
     organisation: Organisation | None
-    #: When it had arrived, by the loop's clock.
+    #: Arrival time, by the loop's clock.
     arrived_at: float
-    #: When its final answer must be on its way.
+    #: Time by which its final response must be sent, by the loop's clock.
     due_at: float
-    #: Fingerprint of the request, the same whenever its caller sends it.
+    #: Fingerprint of the request, the same whenever its caller sends it again.
     fingerprint: str = ""
-    #: Whether its answer has begun and is to be taken up elsewhere.
+    #: Whether its response has begun and is resumed at another target.
     is_begun: bool = False
-    #: Seconds for which its caller had waited before, since an earlier try was refused.
+    #: Seconds that its caller has waited before this try, since an earlier one was refused.
     waited_seconds: float = 0.0
 
     @property
     def aim_at(self) -> float:
-        """When its answer must be there to be in aim, from the first try of its caller."""
+        """Time at which its latency objective ends, counted from its caller's first try."""
         return self.arrived_at - self.waited_seconds + self.route.aim_seconds
 
     @property
     def rank(self) -> int:
-        """Urgency; 0 comes first.  An organisation's rank comes before a route's."""
+        """Priority; 0 comes first.  An organisation's priority comes before a route's."""
         organisation = self.organisation.priority if self.organisation is not None else 0
         return organisation * RANKS_OF_ROUTES + min(self.route.priority, RANKS_OF_ROUTES - 1)
 
     def remaining(self) -> float:
-        """Return the seconds until its final answer is due."""
+        """Return the seconds until its deadline."""
         return self.due_at - asyncio.get_running_loop().time()
 
     def log_fields(self) -> dict[str, object]:
-        """Return what each log line about it holds."""
+        """Return the fields that each log line about it has."""
         return {
             "request": self.request.request_id,
             "route": self.route.name,
--- a/packages/damsonlaned/src/damsonlaned/gateway/_caller_service.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_caller_service.py
@@ -1,4 +1,4 @@
-"""Taking requests from callers: who they are, where they go, and a handler for each."""
+"""Accept requests from callers: authenticate and route each one and run its handler."""
 
 import asyncio
 import contextlib
@@ -24,25 +24,22 @@
 
 _LOG: Final = logging.getLogger(__name__)
 
-#: Seconds by which a final answer leaves before the caller's deadline or the
-#: route's time-out, so that it is there in time.
+#: Seconds by which the final response is sent before the caller's deadline or the
+#: route's time-out, so that it arrives in time.
 ANSWER_MARGIN_SECONDS: Final = 0.02
-#: Seconds from the start of an entry until it nearly always knows its routes: half did
-#: after 0.3 s and nine of ten after 0.7 s, of 80 starts, most when all boxes had been killed.
-USUAL_START_SECONDS: Final = 0.9
-#: Longest time for which a request waits at an entry that starts, in seconds.  Refused, it
-#: comes back later than the routes do, and most callers come back once only.  After all
-#: boxes lost power, entries knew their routes 0.56 s after they began: with 0.4 s the first
-#: callers were refused just before.  0.7 s gains 0.005 of such a day's worth (three pairs).
+#: Seconds from the start of an entry until it nearly always has its routes.
+EXPECTED_START_SECONDS: Final = 0.9
+#: Longest time for which a request waits at an entry that starts, in seconds.  A refused request
+#: comes back later than the routes arrive, and most callers retry only once.
 START_HOLD_SECONDS: Final = 0.7
-#: Least seconds after which a caller of an entry that starts or stops should come back.
+#: Least Retry-After of an entry that starts or stops, in seconds.
 START_RETRY_SECONDS: Final = 0.2
-#: Steps into which the weights of a route's services are divided.
+#: Resolution of the weights of a route's services.
 _WEIGHT_STEPS: Final = 10_000
 
 
 class _RefusedError(Exception):
-    """A request that is refused before it goes anywhere."""
+    """A request is refused before it has a handler."""
 
     def __init__(self, refusal: Refusal) -> None:
         self.refusal = refusal
@@ -50,47 +47,47 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class GatewayParts:
-    """What serving a request needs."""
+class HandlerDependencies:
+    """What request handlers depend on."""
 
-    #: What this entry knows of the fleet.
+    #: This entry's view of the fleet.
     view: FleetView
-    #: Sends to targets.
+    #: Sends requests to targets.
     attempts: Attempts
-    #: Makes stages.
+    #: Runs stages.
     stages: StageRunner
-    #: Finds out which targets have ended.
-    ended: EndedTargets
-    #: Keeps requests that end targets from them.
+    #: Detects targets that exited.
+    exit_detector: EndedTargets
+    #: Lists requests under which targets exited.
     quarantine: Quarantine
-    #: How callers and targets speak.
+    #: HTTP conventions of callers and targets.
     dialect: Dialect
-    #: Counts.
+    #: Metrics of this entry.
     metrics: Metrics
-    #: Returns how many entries share the fleet's budgets.
-    entries: Callable[[], int]
+    #: Returns how many entries share the fleet's retry budget.
+    count_entries: Callable[[], int]
 
 
 class CallerService:
     """Serves callers."""
 
-    def __init__(self, parts: GatewayParts) -> None:
-        self._parts: Final = parts
+    def __init__(self, dependencies: HandlerDependencies) -> None:
+        self._dependencies: Final = dependencies
         self._in_flight = 0
         self._ages: Final = CallerAges()
         self._has_routes: Final = asyncio.Event()
-        parts.view.on_change(self._note_routes)
+        dependencies.view.on_change(self._signal_routes)
         self._started_at: Final = asyncio.get_running_loop().time()
-        #: Whether new requests are refused, because the process ends before they could.
+        #: Whether new requests are refused, since the process stops before they could complete.
         self.refuses_new = False
 
     def in_flight(self) -> int:
-        """Return the requests under way."""
+        """Return the number of requests in progress."""
         return self._in_flight
 
     def limits(self) -> ListenerLimits:
-        """Return the bounds for callers that are in force."""
-        table = self._parts.view.table
+        """Return the limits for callers' connections that are in force."""
+        table = self._dependencies.view.table
         if table is None:
             return ListenerLimits()
         limits = table.document.limits
@@ -102,8 +99,8 @@
         )
 
     def render_bad_bytes(self, status: int, detail: str) -> HttpResponse:
-        """Return the answer to bytes that are no proper request."""
-        return self._parts.dialect.render_refusal(Refusal(status=status, detail=detail), "")
+        """Return the response to a malformed request."""
+        return self._dependencies.dialect.render_refusal(Refusal(status=status, detail=detail), "")
 
     async def serve(self, http: HttpRequest, reply: Reply) -> None:
         """Serve one request."""
@@ -119,49 +116,49 @@
             self._refuse(error.refusal, request_id, http, reply)
             return
         else:
-            await self._pass(call, reply)
+            await self._run_handler(call, reply)
         finally:
             self._in_flight -= 1
 
-    async def _pass(self, call: Call, reply: Reply) -> None:
-        parts = self._parts
+    async def _run_handler(self, call: Call, reply: Reply) -> None:
+        dependencies = self._dependencies
         handler = RequestHandler(
             call,
             reply,
-            parts.attempts,
-            parts.stages,
-            parts.ended,
-            parts.quarantine,
-            parts.dialect,
-            parts.entries,
+            dependencies.attempts,
+            dependencies.stages,
+            dependencies.exit_detector,
+            dependencies.quarantine,
+            dependencies.dialect,
+            dependencies.count_entries,
         )
-        _LOG.info("accepted", extra=_describe(call))
+        _LOG.info("accepted", extra=_accepted_fields(call))
         try:
             await handler.run()
         finally:
             labels = {"route": call.route.name, "outcome": handler.outcome}
-            parts.metrics.requests.inc(labels)
+            dependencies.metrics.requests.inc(labels)
             seconds = asyncio.get_running_loop().time() - call.arrived_at
-            parts.metrics.seconds.observe({"route": call.route.name}, seconds)
+            dependencies.metrics.seconds.observe({"route": call.route.name}, seconds)
 
     def _read(self, http: HttpRequest) -> CallerRequest:
         try:
-            return self._parts.dialect.read_caller(http)
+            return self._dependencies.dialect.read_caller(http)
         except BadRequestError as error:
             raise _RefusedError(Refusal(status=400, detail=str(error))) from None
 
     async def _wait_for_routes(self) -> None:
-        """Keep a request for a moment at an entry that is about to know its routes."""
+        """Wait for the routes at an entry that has just started."""
         age = asyncio.get_running_loop().time() - self._started_at
-        hold = min(START_HOLD_SECONDS, USUAL_START_SECONDS - age)
-        if self._parts.view.table is not None or self.refuses_new or hold <= 0:
+        wait_seconds = min(START_HOLD_SECONDS, EXPECTED_START_SECONDS - age)
+        if self._dependencies.view.table is not None or self.refuses_new or wait_seconds <= 0:
             return
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(hold):
+            async with asyncio.timeout(wait_seconds):
                 await self._has_routes.wait()
 
-    def _note_routes(self) -> None:
-        if self._parts.view.table is not None:
+    def _signal_routes(self) -> None:
+        if self._dependencies.view.table is not None:
             self._has_routes.set()
 
     def _admit(self, request: CallerRequest, arrived_at: float) -> Call:
@@ -186,24 +183,32 @@
         )
 
     def _find_table(self) -> RouteTable:
-        """Return the routes, or refuse while this entry stops or knows none."""
+        """Return the routes.
+
+        Raises:
+            _RefusedError: this entry stops, or has no routes yet.
+        """
         if self.refuses_new:
             detail = "this entry is stopping"
             raise _RefusedError(
                 Refusal(status=503, detail=detail, retry_after_seconds=START_RETRY_SECONDS)
             )
-        table = self._parts.view.table
+        table = self._dependencies.view.table
         if table is None:
             detail = "this entry knows no routes yet"
             raise _RefusedError(
-                Refusal(status=503, detail=detail, retry_after_seconds=self._start_seconds_left())
+                Refusal(
+                    status=503,
+                    detail=detail,
+                    retry_after_seconds=self._expected_start_seconds_left(),
+                )
             )
         return table
 
-    def _start_seconds_left(self) -> float:
-        """Return the seconds until this entry will probably know its routes."""
+    def _expected_start_seconds_left(self) -> float:
+        """Return the expected seconds until this entry has its routes."""
         age = asyncio.get_running_loop().time() - self._started_at
-        return max(START_RETRY_SECONDS, USUAL_START_SECONDS - age)
+        return max(START_RETRY_SECONDS, EXPECTED_START_SECONDS - age)
 
     def _find_organisation(
         self, table: RouteTable, route: Route, request: CallerRequest
@@ -214,8 +219,10 @@
         return organisation
 
     def _refuse(self, refusal: Refusal, request_id: str, http: HttpRequest, reply: Reply) -> None:
-        reply.send_whole(self._parts.dialect.render_refusal(refusal, request_id))
-        self._parts.metrics.requests.inc({"route": "", "outcome": f"refused-{refusal.status}"})
+        reply.send_whole(self._dependencies.dialect.render_refusal(refusal, request_id))
+        self._dependencies.metrics.requests.inc(
+            {"route": "", "outcome": f"refused-{refusal.status}"}
+        )
         _LOG.info(
             "refused",
             extra={
@@ -223,13 +230,13 @@
                 "status": refusal.status,
                 "reason": refusal.detail,
                 "path": http.path,
-                "version": self._parts.view.version(),
+                "version": self._dependencies.view.version(),
             },
         )
 
 
 def _find_fingerprint(request: CallerRequest, organisation: Organisation | None) -> str:
-    """Return what makes two requests of one organisation the same."""
+    """Return the fingerprint that identical requests of one organisation share."""
     return find_fingerprint(
         organisation=organisation.name if organisation is not None else "",
         method=request.http.method,
@@ -239,8 +246,8 @@
     )
 
 
-def _describe(call: Call) -> dict[str, object]:
-    """Return what decides how a request is treated."""
+def _accepted_fields(call: Call) -> dict[str, object]:
+    """Return the log fields of an accepted request."""
     return {
         **call.log_fields(),
         "organisation": call.organisation.name if call.organisation is not None else "",
@@ -255,7 +262,7 @@
 
 
 def _choose_service(table: RouteTable, route: Route, request_id: str) -> Service:
-    """Choose one of a route's services by weight; the same for each try of a request."""
+    """Choose one of a route's services by weight; the same one whenever a request is retried."""
     total = sum(share.weight for share in route.services)
     point = zlib.crc32(request_id.encode()) % _WEIGHT_STEPS / _WEIGHT_STEPS * total
     name = route.services[-1].service
@@ -266,5 +273,5 @@
             break
     service = table.service(name)
     if service is None:
-        raise LookupError(f"a checked document has no service '{name}'")
+        raise LookupError(f"the validated routing document has no service '{name}'")
     return service
--- a/packages/damsonlaned/src/damsonlaned/gateway/_control_follower.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_control_follower.py
@@ -1,4 +1,4 @@
-"""Following one control replica, and moving to another when it is not fresh."""
+"""Follow one control replica, and switch to another when its state is stale."""
 
 import asyncio
 import contextlib
@@ -26,32 +26,31 @@
 
 _LOG: Final = logging.getLogger(__name__)
 
-#: Seconds between reports of what this entry holds.
+#: Seconds between reports of this entry's revisions.
 REPORT_SECONDS: Final = 2.0
-#: Share of the time in which a document must be in force after which a replica
-#: that says nothing, or nothing fresh, is left for another: the rest is for
-#: reaching that one.
-PATIENCE_SHARE: Final = 0.4
-#: Seconds after which a replica that was not fresh at all on a stream is left:
-#: with two of five cut off, the second or third choice must still come in time.
-FIRST_PATIENCE_SECONDS: Final = 0.2
-#: Seconds between attempts.
-PAUSE_SECONDS: Final = 0.05
-#: State older than this many seconds is not taken by an entry that holds none.
-FIRST_STATE_AGE: Final = 1.0
-#: Addresses of control replicas that are remembered.
-MOST_ADDRESSES: Final = 12
-
-
-class FleetLink:
-    """Keeps a view current.
+#: Time after which a replica without fresh state is left for another, as a share of the time in
+#: which a document must be in force.  The remaining time is for reaching the other one.
+FRESHNESS_TIMEOUT_SHARE: Final = 0.4
+#: Seconds after which a replica is left that has sent no fresh state on a stream yet.  With two of
+#: five replicas partitioned, the second or third choice must still be reached in time.
+INITIAL_FRESHNESS_SECONDS: Final = 0.2
+#: Mean delay before the next replica is tried, in seconds.
+RECONNECT_SECONDS: Final = 0.05
+#: Largest age of the state that an entry without routes accepts, in seconds.
+MAX_INITIAL_STATE_AGE: Final = 1.0
+#: Most addresses of control replicas that are kept.
+MAX_ADDRESSES: Final = 12
+
+
+class ControlFollower:
+    """Keeps a view of the fleet current by following a control replica.
 
     Args:
         settings: settings of the box.
-        holder: this process.
-        view: what is kept current.
-        context: TLS context towards other boxes, or None.
-        on_control: told the addresses of the control replicas whenever a replica names them.
+        holder: identity of this process.
+        view: the view to update.
+        context: TLS context for connections to other boxes, or None.
+        on_control: called with the addresses of the control replicas when a replica lists them.
     """
 
     def __init__(
@@ -68,12 +67,14 @@
         self._holder: Final = holder
         self._view: Final = view
         self._context: Final = context
-        self._patience: Final = PATIENCE_SHARE * (gateway.apply_seconds if gateway else 2.0)
+        self._freshness_timeout: Final = FRESHNESS_TIMEOUT_SHARE * (
+            gateway.apply_seconds if gateway else 2.0
+        )
         self._addresses: list[str] = list(settings.control)
         self._started_at: Final = time.time()
-        self._is_leaving = False
+        self._is_draining = False
         self._is_stopped = False
-        self._held: list[FollowUpdate] = []
+        self._buffered: list[FollowUpdate] = []
         self._report_due: Final = asyncio.Event()
         self._task: asyncio.Task[None] | None = None
 
@@ -83,21 +84,21 @@
 
     async def stop(self) -> None:
         """Stop following."""
-        # The library may turn a cancellation into the fault of a stream that breaks
-        # at the same moment, so the task is told in another way too.
+        # The library may replace a cancellation by the error of a stream that breaks at the same
+        # moment, so a flag ends the loop as well.
         self._is_stopped = True
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
-    def announce_leaving(self) -> None:
-        """Tell control that this box takes no new requests."""
-        self._is_leaving = True
+    def announce_draining(self) -> None:
+        """Report to control that this box accepts no new requests."""
+        self._is_draining = True
         self._report_due.set()
 
-    def replace_seeds(self, addresses: tuple[str, ...]) -> None:
-        """Learn addresses that the settings now name."""
-        self._learn(addresses)
+    def add_control_addresses(self, addresses: tuple[str, ...]) -> None:
+        """Add control addresses from reloaded settings."""
+        self._add_addresses(addresses)
 
     async def _run(self) -> None:
         last = ""
@@ -106,23 +107,23 @@
             last = address
             try:
                 await self._follow(address)
-                fault = "not fresh"
+                fault = "no fresh state from the replica"
             except (TimeoutError, *CALL_FAULTS) as error:
                 fault = str(error) or type(error).__name__
             _LOG.warning("lost control", extra={"address": address, "fault": fault})
-            await asyncio.sleep(PAUSE_SECONDS * random.uniform(0.5, 1.5))
+            await asyncio.sleep(RECONNECT_SECONDS * random.uniform(0.5, 1.5))
 
     def _choose(self, last: str) -> str:
         others = [address for address in self._addresses if address != last]
         return random.choice(others or self._addresses)
 
-    def _learn(self, addresses: tuple[str, ...]) -> None:
+    def _add_addresses(self, addresses: tuple[str, ...]) -> None:
         self._on_control(addresses)
         later = [address for address in self._addresses if address not in addresses]
-        self._addresses = [*addresses, *later][:MOST_ADDRESSES]
+        self._addresses = [*addresses, *later][:MAX_ADDRESSES]
 
     async def _follow(self, address: str) -> None:
-        """Follow a replica until it is not fresh any more."""
+        """Follow a replica until its state is stale."""
         channel = open_channel(address, self._context)
         try:
             async with FOLLOW.stream(channel).open() as stream:
@@ -138,39 +139,41 @@
 
     async def _take_updates(self, stream: Stream[FollowReport, FollowUpdate], address: str) -> None:
         loop = asyncio.get_running_loop()
-        self._held = []
+        self._buffered = []
         fresh_at = loop.time()
         was_fresh = False
         while True:
-            update = await asyncio.wait_for(stream.recv_message(), self._patience)
+            update = await asyncio.wait_for(stream.recv_message(), self._freshness_timeout)
             if update is None:
                 return
             now = loop.time()
             age = update.state_age
             if update.control:
-                self._learn(update.control)
-            if age is not None and age <= self._patience:
+                self._add_addresses(update.control)
+            if age is not None and age <= self._freshness_timeout:
                 if not was_fresh:
                     _LOG.info("following control", extra={"address": address, "age": age})
                 was_fresh = True
                 fresh_at = now
-            self._take(update, is_fresh=age is not None and age <= FIRST_STATE_AGE)
-            if now - fresh_at > (self._patience if was_fresh else FIRST_PATIENCE_SECONDS):
+            self._apply(update, is_fresh=age is not None and age <= MAX_INITIAL_STATE_AGE)
+            if now - fresh_at > (
+                self._freshness_timeout if was_fresh else INITIAL_FRESHNESS_SECONDS
+            ):
                 return
 
-    def _take(self, update: FollowUpdate, *, is_fresh: bool) -> None:
-        """Take what is newer; an entry that holds nothing takes only what is fresh.
+    def _apply(self, update: FollowUpdate, *, is_fresh: bool) -> None:
+        """Apply an update; an entry without routes waits for a fresh one.
 
-        What came before is kept until then: a replica tells each thing once.
+        Earlier updates are buffered until then, since a replica sends each change once.
         """
-        self._held.append(update)
+        self._buffered.append(update)
         if self._view.table is None and not is_fresh:
             return
-        held, self._held = self._held, []
-        for earlier in held:
-            self._put(earlier)
+        buffered, self._buffered = self._buffered, []
+        for earlier in buffered:
+            self._apply_to_view(earlier)
 
-    def _put(self, update: FollowUpdate) -> None:
+    def _apply_to_view(self, update: FollowUpdate) -> None:
         if update.targets is not None:
             self._view.put_targets(update.targets)
         if update.evacuations is not None:
@@ -200,7 +203,7 @@
             version=self._view.version(),
             started_at=self._started_at,
             address=self._settings.internal_address,
-            is_leaving=self._is_leaving,
+            is_leaving=self._is_draining,
         )
         return FollowReport(
             box=box,
--- a/packages/damsonlaned/src/damsonlaned/gateway/_ended_targets.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_ended_targets.py
@@ -1,4 +1,4 @@
-"""Finding out whether a target under which answers broke off has ended."""
+"""Detect whether a target has exited after responses of it were lost."""
 
 import asyncio
 import logging
@@ -12,109 +12,116 @@
 
 _LOG: Final = logging.getLogger(__name__)
 
-#: Seconds for which word of control that a target started again is put down to what broke off
-#: there: targets that end come back after a few seconds.
-DOUBT_SECONDS: Final = 8.0
+#: Seconds for which a lost response is kept: a restart of the target that control reports within
+#: this time is attributed to the requests that were lost.  Targets restart within a few seconds.
+LOSS_RETENTION_SECONDS: Final = 8.0
 
-#: Takes a start of a target that has ended, with what broke off there.
-TakeEnd = Callable[[LostTarget, Sequence[BrokenRun]], None]
+#: Takes an incarnation of a target that has exited, with the requests lost there.
+ExitCallback = Callable[[LostTarget, Sequence[BrokenRun]], None]
 
 
 class EndedTargets:
-    """Tells targets that ended from single connections that broke.
+    """Distinguishes targets that exited from single connections that broke.
 
-    A connection breaks for many reasons; only what ended the target is word against the
-    requests that it had.  A target has ended if it refuses a new connection, or if control
-    says soon after that it has started again or another one has its address.  Silence alone is
-    no end: a cut of the network leaves requests without answer at many targets at once, and
-    their callers' later tries would be refused.
+    A connection breaks for many reasons; only the exit of the target counts against the requests
+    that it had.  A target has exited if it refuses a new connection, or if control soon reports
+    that it restarted or that another target has its address.  A time-out alone is no exit: a
+    network partition leaves requests at many targets without a response, and quarantining them
+    would refuse their callers' retries.
 
     Args:
-        view: what control says of targets.
-        take_end: told once or more of each start that has ended.
+        view: targets as control lists them.
+        on_exit: called at least once for each incarnation that has exited.
     """
 
-    def __init__(self, view: FleetView, take_end: TakeEnd) -> None:
+    def __init__(self, view: FleetView, on_exit: ExitCallback) -> None:
         self._view: Final = view
-        self._take_end: Final = take_end
-        self._doubts: dict[LostTarget, list[BrokenRun]] = {}
-        self._looks: dict[LostTarget, asyncio.Task[bool]] = {}
-        self._later: dict[LostTarget, asyncio.Task[None]] = {}
+        self._on_exit: Final = on_exit
+        self._losses: dict[LostTarget, list[BrokenRun]] = {}
+        self._probes: dict[LostTarget, asyncio.Task[bool]] = {}
+        self._delayed_probes: dict[LostTarget, asyncio.Task[None]] = {}
         view.on_change(self._follow_view)
 
     async def note_broken(self, lost: LostTarget, runs: Sequence[BrokenRun]) -> bool:
-        """Note answers that broke off; tell whether the target is known to have ended.
+        """Record broken responses; return whether the target is known to have exited.
 
-        A target that left, or says that it leaves, ends as planned: that is word against nobody.
+        A target that is draining or no longer listed exits as planned, which counts against no
+        request.
         """
-        if not self._doubt(lost, runs):
+        if not self._record_loss(lost, runs):
             return False
         if self._is_replaced(lost):
-            self._settle(lost, "it started again")
+            self._report_exit(lost, "the target restarted or was replaced")
             return True
-        if await asyncio.shield(self._look(lost)):
-            self._settle(lost, "it refuses connections")
+        if await asyncio.shield(self._probe(lost)):
+            self._report_exit(lost, "the target refuses connections")
             return True
-        self._look_again(lost)
+        self._schedule_probe(lost)
         return False
 
     def note_silent(self, lost: LostTarget, runs: Sequence[BrokenRun]) -> None:
-        """Note answers that did not come: only word of control will tell why."""
-        self._doubt(lost, runs)
+        """Record responses that timed out: only a report of control shows whether it exited."""
+        self._record_loss(lost, runs)
 
-    def _doubt(self, lost: LostTarget, runs: Sequence[BrokenRun]) -> bool:
-        """Keep what was lost for a while; tell whether the target should still be there."""
-        if not self._should_be_there(lost):
+    def _record_loss(self, lost: LostTarget, runs: Sequence[BrokenRun]) -> bool:
+        """Record a loss for a while; return whether the target is expected to run."""
+        if not self._is_expected_to_run(lost):
             return False
-        self._doubts.setdefault(lost, []).extend(runs)
-        asyncio.get_running_loop().call_later(DOUBT_SECONDS, self._forget, lost, tuple(runs))
+        self._losses.setdefault(lost, []).extend(runs)
+        asyncio.get_running_loop().call_later(
+            LOSS_RETENTION_SECONDS, self._forget, lost, tuple(runs)
+        )
         return True
 
-    def _should_be_there(self, lost: LostTarget) -> bool:
-        """Tell whether control lists a target that neither it nor control says is leaving."""
+    def _is_expected_to_run(self, lost: LostTarget) -> bool:
+        """Return whether control lists the target and nothing says that it is draining."""
         record = self._view.find_target(lost.target)
         if record is None or record.standing == "leaving":
             return False
         return not self._view.notices.is_leaving(record)
 
-    def _look(self, lost: LostTarget) -> "asyncio.Task[bool]":
-        """Return the look at a target that is under way, or begin one."""
-        task = self._looks.get(lost)
+    def _probe(self, lost: LostTarget) -> "asyncio.Task[bool]":
+        """Return the probe of a target that is under way, or start one."""
+        task = self._probes.get(lost)
         if task is None:
-            task = start_task(refuses_connections(lost.address), "looking for a target")
-            self._looks[lost] = task
-            task.add_done_callback(lambda _: self._looks.pop(lost, None))
+            task = start_task(refuses_connections(lost.address), "probing a target")
+            self._probes[lost] = task
+            task.add_done_callback(lambda _: self._probes.pop(lost, None))
         return task
 
-    def _look_again(self, lost: LostTarget) -> None:
-        """Look once more a little later, for which no request waits.
+    def _schedule_probe(self, lost: LostTarget) -> None:
+        """Schedule another probe, for which no request waits.
 
-        A process that ends may still listen while its other connections are closed already.
+        An exiting process may still listen after its other connections are closed.
         """
-        if lost not in self._later:
-            self._later[lost] = start_task(self._look_later(lost), "looking for a target again")
-            self._later[lost].add_done_callback(lambda _: self._later.pop(lost, None))
-
-    async def _look_later(self, lost: LostTarget) -> None:
+        if lost not in self._delayed_probes:
+            self._delayed_probes[lost] = start_task(
+                self._probe_later(lost), "probing a target again"
+            )
+            self._delayed_probes[lost].add_done_callback(
+                lambda _: self._delayed_probes.pop(lost, None)
+            )
+
+    async def _probe_later(self, lost: LostTarget) -> None:
         await asyncio.sleep(LOOK_AGAIN_SECONDS)
-        if self._should_be_there(lost) and await asyncio.shield(self._look(lost)):
-            self._settle(lost, "it refuses connections")
+        if self._is_expected_to_run(lost) and await asyncio.shield(self._probe(lost)):
+            self._report_exit(lost, "the target refuses connections")
 
     def _follow_view(self) -> None:
-        for lost in list(self._doubts):
+        for lost in list(self._losses):
             if self._is_replaced(lost):
-                self._settle(lost, "it started again")
+                self._report_exit(lost, "the target restarted or was replaced")
 
     def _is_replaced(self, lost: LostTarget) -> bool:
-        """Tell whether a target started again, or another one has its address."""
+        """Return whether a target restarted, or another one has its address."""
         record = self._view.find_target(lost.target)
         if record is None:
             return self._view.has_target_at(lost.address)
         return record.start != lost.start
 
-    def _settle(self, lost: LostTarget, evidence: str) -> None:
-        """Hand on what broke off at a target that has ended."""
-        runs = self._doubts.pop(lost, [])
+    def _report_exit(self, lost: LostTarget, evidence: str) -> None:
+        """Report the requests that were lost at a target that has exited."""
+        runs = self._losses.pop(lost, [])
         if not runs:
             return
         _LOG.warning(
@@ -127,10 +134,10 @@
                 "fingerprints": sorted({run.fingerprint for run in runs}),
             },
         )
-        self._take_end(lost, runs)
+        self._on_exit(lost, runs)
 
     def _forget(self, lost: LostTarget, runs: Sequence[BrokenRun]) -> None:
-        """Put an end that comes later down to something else than these."""
-        left = [run for run in self._doubts.pop(lost, []) if run not in runs]
-        if left:
-            self._doubts[lost] = left
+        """Drop losses, so that a later exit is not attributed to them."""
+        remaining = [run for run in self._losses.pop(lost, []) if run not in runs]
+        if remaining:
+            self._losses[lost] = remaining
--- a/packages/damsonlaned/src/damsonlaned/gateway/_events.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_events.py
@@ -1,71 +1,71 @@
-"""Splitting an event stream into whole events (WHATWG HTML, server-sent events)."""
+"""Split an event stream into complete events (WHATWG HTML, server-sent events)."""
 
 from dataclasses import dataclass
 from typing import Final
 
 from damsonlane.errors import DamsonlaneError
 
-#: Bytes of one event that may wait for its end.
-LARGEST_EVENT: Final = 1024 * 1024
+#: Largest size of one event, in bytes.
+MAX_EVENT_BYTES: Final = 1024 * 1024
 
 
 class EventTooLargeError(ValueError):
-    """An event does not end."""
+    """An event exceeds the largest size."""
 
 
-class StreamSilentError(DamsonlaneError):
-    """No event came for too long."""
+class StreamTimeoutError(DamsonlaneError):
+    """No part of an event stream arrived in time."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Event:
-    """One whole event."""
+    """One complete event."""
 
-    #: Its bytes, the blank line that ends it included.
+    #: Its bytes, including the blank line that ends it.
     data: bytes
     #: Its id, or None.
-    identity: str | None
+    event_id: str | None
 
 
 class EventSplitter:
-    """Takes bytes as they come and gives out whole events."""
+    """Buffers the bytes of a stream and returns complete events."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._remainder = b""
 
     def feed(self, data: bytes) -> tuple[Event, ...]:
-        """Return the events that are whole now.
+        """Return the events that are complete now.
 
         Raises:
-            EventTooLargeError: an event has more bytes than may wait.
+            EventTooLargeError: an event exceeds the largest size.
         """
-        self._rest += data
+        self._remainder += data
         events: list[Event] = []
-        while (end := _find_end(self._rest)) > 0:
-            block, self._rest = self._rest[:end], self._rest[end:]
-            events.append(Event(data=block, identity=_read_identity(block)))
-        if len(self._rest) > LARGEST_EVENT:
-            raise EventTooLargeError(f"an event has more than {LARGEST_EVENT} bytes")
+        while (end := _find_end(self._remainder)) > 0:
+            block, self._remainder = self._remainder[:end], self._remainder[end:]
+            events.append(Event(data=block, event_id=_read_event_id(block)))
+        if len(self._remainder) > MAX_EVENT_BYTES:
+            raise EventTooLargeError(f"an event has more than {MAX_EVENT_BYTES} bytes")
         return tuple(events)
 
-    def rest(self) -> bytes:
-        """Return the bytes that belong to no whole event."""
-        return self._rest
+    def remainder(self) -> bytes:
+        """Return the buffered bytes of an incomplete event."""
+        return self._remainder
 
 
 def _find_end(data: bytes) -> int:
-    """Return where the first whole event ends, or 0."""
+    """Return the offset at which the first complete event ends, or 0."""
     ends = [
-        found + len(mark)
-        for mark in (b"\n\n", b"\r\n\r\n", b"\r\r")
-        if (found := data.find(mark)) >= 0
+        found + len(terminator)
+        for terminator in (b"\n\n", b"\r\n\r\n", b"\r\r")
+        if (found := data.find(terminator)) >= 0
     ]
     return min(ends, default=0)
 
 
-def _read_identity(block: bytes) -> str | None:
-    identity = None
+def _read_event_id(block: bytes) -> str | None:
+    event_id = None
     for line in block.splitlines():
         if line.startswith(b"id:"):
-            identity = line[3:].strip().decode("utf-8", "replace")
-    return identity
+            event_id = line[3:].strip().decode("utf-8", "replace")
+    return event_id
--- a/packages/damsonlaned/src/damsonlaned/gateway/_failed_attempt.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_failed_attempt.py
@@ -1,31 +1,31 @@
-"""What an attempt at a target says when it gave the caller nothing."""
+"""The outcome of an attempt that produced no response for the caller."""
 
 from dataclasses import dataclass
 from typing import Literal
 
 from damsonlaned.http import HttpResponse
 
-#: How an answer was lost: its connection broke, or nothing came any more.
+#: How a response was lost: its connection broke, or it timed out.
 Loss = Literal["broken", "silent"]
 
 
 @dataclass(frozen=True, kw_only=True)
-class Unserved:
-    """An attempt that gave the caller nothing."""
+class FailedAttempt:
+    """An attempt that produced no response for the caller."""
 
     #: What went wrong.
     detail: str
-    #: Whether the request may have run there.
+    #: Whether the request may have run at the target.
     may_have_run: bool
-    #: A whole answer of the target that says so, or None.
+    #: The target's own failure response, or None.
     response: HttpResponse | None = None
-    #: Whether its stage results must be made again.
+    #: Whether its stage results must be recomputed.
     needs_inputs: bool = False
-    #: Whether the target turned it away and said how much it takes, or when.
-    is_told_off: bool = False
-    #: How the answer was lost, if the target may not have survived the request.
+    #: Whether the target rejected it and announced a back-off or a rate limit.
+    is_throttled: bool = False
+    #: How the response was lost, if the target may have exited under the request.
     loss: Loss | None = None
-    #: Whether there was no target that it could be sent to.
-    is_nowhere: bool = False
+    #: Whether there was no target to send it to.
+    has_no_target: bool = False
     #: Seconds after which the caller should come back; 0 where that is not known.
     return_seconds: float = 0.0
--- a/packages/damsonlaned/src/damsonlaned/gateway/_final_response.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_final_response.py
@@ -1,4 +1,4 @@
-"""The one final answer to a request, and how it ended."""
+"""The final response to a request, and its outcome."""
 
 from typing import Final
 
@@ -6,35 +6,35 @@
 from damsonlaned.http import HttpHead, HttpResponse, Reply
 
 
-class FinalAnswer:
-    """Writes an answer whole, as a stream, or as a refusal of our own.
+class FinalResponse:
+    """Writes the response to the caller: whole, as a stream, or as a refusal of this entry.
 
     Args:
         request_id: id of the request.
-        reply: where the answer goes.
-        dialect: writes refusals.
+        reply: where the response is written.
+        dialect: renders refusals.
     """
 
     def __init__(self, request_id: str, reply: Reply, dialect: Dialect) -> None:
         self._request_id: Final = request_id
         self._reply: Final = reply
         self._dialect: Final = dialect
-        #: How it ended, for logs and metrics.
+        #: Outcome of the request, for logs and metrics.
         self.outcome = "gone"
-        #: Why it ended so, for logs; empty for an answer of a target.
+        #: Reason of the outcome, for logs; empty for a response of a target.
         self.detail = ""
 
     def has_begun(self) -> bool:
-        """Tell whether the caller has a part of it."""
+        """Return whether the caller has a part of the response."""
         return self._reply.has_begun
 
     def send_whole(self, response: HttpResponse) -> None:
-        """Send what a target answered."""
+        """Send the response of a target."""
         self._reply.send_whole(response)
         self.outcome = "answered"
 
     def send_failure(self, response: HttpResponse) -> None:
-        """Send the failure that a target answered."""
+        """Send the failure response of a target."""
         self.outcome = "target-failed"
         self._reply.send_whole(response)
 
@@ -56,13 +56,13 @@
         self.outcome = "answered"
 
     def cut(self, detail: str) -> None:
-        """Break off a stream whose rest won't come."""
+        """Abort a stream whose remainder is lost."""
         self.outcome = "cut"
         self.detail = detail
         self._reply.cut()
 
     def refuse(self, refusal: Refusal) -> None:
-        """Send a refusal of our own, or break off a stream that has begun."""
+        """Send a refusal of this entry, or abort a stream that has begun."""
         if self._reply.has_begun:
             self.cut(refusal.detail)
             return
--- a/packages/damsonlaned/src/damsonlaned/gateway/_node.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_node.py
@@ -1,4 +1,4 @@
-"""The entry that serves routes: all its parts, and a clean stop."""
+"""An entry that serves routes: assembly of its components, and graceful shutdown."""
 
 import asyncio
 import logging
@@ -16,8 +16,8 @@
 from damsonlaned.admin import Admin
 from damsonlaned.dialects import DIALECTS
 from damsonlaned.gateway._attempts import Attempts
-from damsonlaned.gateway._caller_service import CallerService, GatewayParts
-from damsonlaned.gateway._control_follower import FleetLink
+from damsonlaned.gateway._caller_service import CallerService, HandlerDependencies
+from damsonlaned.gateway._control_follower import ControlFollower
 from damsonlaned.gateway._ended_targets import EndedTargets
 from damsonlaned.gateway._limit_reports import LimitReports
 from damsonlaned.gateway._permit_client import PermitClient
@@ -35,22 +35,22 @@
 
 _LOG: Final = logging.getLogger(__name__)
 
-#: Seconds for which new connections are still taken after SIGTERM: the balancer
-#: asks every second whether an entry is ready and believes the second no.
-STILL_TAKEN_SECONDS: Final = 2.5
-#: Seconds kept back before the end of the grace time.
+#: Seconds for which new connections are still accepted after SIGTERM: the load balancer checks
+#: readiness every second and removes an entry after two failed checks.
+DRAIN_ACCEPT_SECONDS: Final = 2.5
+#: Seconds reserved at the end of the grace period.
 STOP_MARGIN_SECONDS: Final = 0.4
-#: Seconds between looks at what is under way.
-LOOK_SECONDS: Final = 0.05
+#: Seconds between checks whether all requests have completed.
+DRAIN_POLL_SECONDS: Final = 0.05
 
 
 class GatewayNode:
     """One entry box that serves routes.
 
     Args:
-        settings: settings of the box, with those of its gateway.
-        gateway: the latter.
-        context: TLS context towards other boxes, or None.
+        settings: settings of the box.
+        gateway: settings of its gateway.
+        context: TLS context for connections to other boxes, or None.
     """
 
     def __init__(
@@ -59,22 +59,22 @@
         self._gateway: Final = gateway
         self._dialect: Final = DIALECTS[gateway.dialect]
         self._metrics: Final = Metrics()
-        cold = ColdAllowance(ratio=gateway.cold_ratio, slack=gateway.cold_slack)
-        self._view: Final = FleetView(self._dialect, cold)
+        warm_up_allowance = ColdAllowance(ratio=gateway.cold_ratio, slack=gateway.cold_slack)
+        self._view: Final = FleetView(self._dialect, warm_up_allowance)
         holder = Holder(box=settings.name, incarnation=secrets.token_hex(6))
-        self._link: Final = FleetLink(
-            settings, holder, self._view, context, on_control=self._learn_control
+        self._control_follower: Final = ControlFollower(
+            settings, holder, self._view, context, on_control=self._update_control
         )
         self._control: Final = ControlClient(settings.control, context=context)
         self._quarantine: Final = Quarantine(
             self._view.quarantine, QuarantineClient(self._control).submit
         )
-        ended = EndedTargets(self._view, self._quarantine.take_end)
+        exit_detector = EndedTargets(self._view, self._quarantine.take_end)
         targets = Targets(
             self._view, settings.data_centre, self._count_entries, settings.internal_address
         )
         owners = PoolOwners(
-            self._view, targets, self._dialect, self._metrics, ended, self._quarantine
+            self._view, targets, self._dialect, self._metrics, exit_detector, self._quarantine
         )
         self._owners: Final = owners
         self._pools: Final = PoolClient(self._view, owners, settings.internal_address, context)
@@ -94,28 +94,28 @@
             gateway.retry_window_seconds,
             gateway.retry_slack,
         )
-        self._callers: Final = CallerService(
-            GatewayParts(
+        self._caller_service: Final = CallerService(
+            HandlerDependencies(
                 view=self._view,
                 attempts=attempts,
-                stages=StageRunner(self._pools, self._locate),
-                ended=ended,
+                stages=StageRunner(self._pools, self._find_data_centre),
+                exit_detector=exit_detector,
                 quarantine=self._quarantine,
                 dialect=self._dialect,
                 metrics=self._metrics,
-                entries=self._count_entries,
+                count_entries=self._count_entries,
             )
         )
         self._listener: Final = WebListener(
             settings.caller_address,
-            self._callers.serve,
-            limits=self._callers.limits,
-            render_refusal=self._callers.render_bad_bytes,
+            self._caller_service.serve,
+            limits=self._caller_service.limits,
+            render_refusal=self._caller_service.render_bad_bytes,
         )
         self._ready_listener: Final = WebListener(
             gateway.ready_address,
-            self._tell_ready,
-            render_refusal=self._callers.render_bad_bytes,
+            self._serve_readiness,
+            render_refusal=self._caller_service.render_bad_bytes,
         )
         self._admin: Final = Admin(
             settings.admin_address, self._metrics, self.is_ready, self._refresh
@@ -123,74 +123,74 @@
         self._is_stopping = False
 
     def handlers(self) -> Mapping[str, Handler]:
-        """Return the calls that other boxes make."""
+        """Return the handlers of calls from other boxes."""
         return self._pool_service.handlers()
 
     def is_ready(self) -> bool:
-        """Tell whether this entry takes new requests."""
+        """Return whether this entry accepts new requests."""
         return self._view.table is not None and not self._is_stopping
 
     async def start(self) -> None:
         """Start serving.
 
         Raises:
-            StorageError: an address can't be had.
+            StorageError: an address cannot be bound.
         """
         await self._admin.start()
         await self._ready_listener.start()
         await self._listener.start()
-        self._link.start()
+        self._control_follower.start()
 
     def replace_seeds(self, addresses: tuple[str, ...]) -> None:
-        """Learn the control addresses that reloaded settings name."""
-        self._link.replace_seeds(addresses)
+        """Add the control addresses of reloaded settings."""
+        self._control_follower.add_control_addresses(addresses)
 
     async def stop(self) -> None:
-        """Take what still comes for a while, let what is under way end, then stop."""
+        """Accept requests until the load balancer sends none, let them complete, then stop."""
         loop = asyncio.get_running_loop()
         began_at = loop.time()
         ends_at = began_at + self._gateway.stop_seconds - STOP_MARGIN_SECONDS
         self._is_stopping = True
         self._listener.is_closing = True
-        self._link.announce_leaving()
+        self._control_follower.announce_draining()
         while loop.time() < ends_at:
-            is_due = loop.time() - began_at >= STILL_TAKEN_SECONDS
-            if is_due:
-                self._callers.refuses_new = True
+            is_refusing = loop.time() - began_at >= DRAIN_ACCEPT_SECONDS
+            if is_refusing:
+                self._caller_service.refuses_new = True
                 self._listener.close_idle()
-            if is_due and self._callers.in_flight() == 0 and self._listener.busy() == 0:
+            if is_refusing and self._caller_service.in_flight() == 0 and self._listener.busy() == 0:
                 break
-            await asyncio.sleep(LOOK_SECONDS)
-        _LOG.info("drained", extra={"cut": self._callers.in_flight()})
+            await asyncio.sleep(DRAIN_POLL_SECONDS)
+        _LOG.info("drained", extra={"cut": self._caller_service.in_flight()})
         await self._listener.stop()
         await self._ready_listener.stop()
-        await self._link.stop()
+        await self._control_follower.stop()
         await self._quarantine.stop()
         await self._limit_reports.stop()
         self._control.close()
         await self._pools.stop()
         await self._admin.stop()
 
-    async def _tell_ready(self, request: HttpRequest, reply: Reply) -> None:
+    async def _serve_readiness(self, request: HttpRequest, reply: Reply) -> None:
         is_ready = self._dialect.is_ready_call(request) and self.is_ready()
         reply.send_whole(HttpResponse(status=200 if is_ready else 503))
 
-    def _learn_control(self, addresses: tuple[str, ...]) -> None:
+    def _update_control(self, addresses: tuple[str, ...]) -> None:
         self._control.learn(addresses)
 
-    def _locate(self, handle: str) -> str:
+    def _find_data_centre(self, handle: str) -> str:
         return self._view.data_centre_at(self._dialect.read_maker(handle))
 
     def _count_entries(self) -> int:
         return max(1, len(self._view.entries))
 
     def _refresh(self) -> None:
-        self._metrics.in_flight.set({}, self._callers.in_flight())
+        self._metrics.in_flight.set({}, self._caller_service.in_flight())
         self._metrics.version.set({}, self._view.version())
         self._metrics.evacuated.set({}, len(self._view.evacuated))
         self._metrics.held.set({}, len(self._view.quarantine.newest.held))
         backing_off = self._view.notices.list_backing_off()
-        listed = [named for named in backing_off if self._view.is_listed(named)]
+        listed = [incarnation for incarnation in backing_off if self._view.is_listed(incarnation)]
         self._metrics.backing_off.set({}, len(listed))
         self._metrics.limited.set({}, len(self._view.limits.list_words()))
         self._owners.count_waiting()
--- a/packages/damsonlaned/src/damsonlaned/gateway/_process.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_process.py
@@ -1,4 +1,4 @@
-"""Running the entry that serves routes."""
+"""Run an entry that serves routes."""
 
 import logging
 from typing import Final
@@ -21,7 +21,7 @@
 async def run_gateway(
     settings: BoxSettings, gateway: Gateway, keys: Keys, reload: Reload | None
 ) -> None:
-    """Run the entry until it is told to stop."""
+    """Run the entry until the process is asked to stop."""
     node = GatewayNode(settings, gateway, keys.client)
 
     watch = SettingsWatch(settings, reload, lambda newer: node.replace_seeds(newer.control))
--- a/packages/damsonlaned/src/damsonlaned/gateway/_read_timer.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_read_timer.py
@@ -1,32 +1,31 @@
-"""When a target has read the inputs that it was sent the handles of."""
+"""Estimate when a target has read the inputs whose handles it was sent."""
 
 import asyncio
 from collections.abc import Callable
 from typing import Final
 
-#: Seconds after the sending of a call until its inputs count as read.  A full call of
-#: the first users' pools reads 4 MB, 4 ms on their links; the rest is for the way there
-#: and a target that is slow to begin.  Results given up before they were read cost their
-#: request its stages anew; with 0.1 s the room for results bound the pools (policy.md).
+#: Seconds after a call was sent until its inputs are assumed to be read.  Too short, results are
+#: released before they are read and the stages are recomputed; too long, result memory limits the
+#: throughput of the pools (policy.md).
 READ_SECONDS: Final = 0.05
 
 
 class ReadTimer:
-    """Tells that the inputs of a call were read, unless the call ends before.
+    """Reports the inputs of a call as read after a delay, unless the call ends before.
 
     Args:
-        tell: called once they count as read.
+        on_read: called once they are assumed to be read.
     """
 
-    def __init__(self, tell: Callable[[], None]) -> None:
-        self._tell: Final = tell
+    def __init__(self, on_read: Callable[[], None]) -> None:
+        self._on_read: Final = on_read
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Begin to wait, once the call was sent."""
-        self._timer = asyncio.get_running_loop().call_later(READ_SECONDS, self._tell)
+        """Start the timer, once the call was sent."""
+        self._timer = asyncio.get_running_loop().call_later(READ_SECONDS, self._on_read)
 
     def cancel(self) -> None:
-        """Tell nothing any more."""
+        """Stop the timer."""
         if self._timer is not None:
             self._timer.cancel()
--- a/packages/damsonlaned/src/damsonlaned/gateway/_request_handler.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_request_handler.py
@@ -1,4 +1,4 @@
-"""Handling one request: stages, attempts, and one final answer."""
+"""Handle one request: its stages, the attempts at targets, and the final response."""
 
 import asyncio
 import logging
@@ -9,20 +9,20 @@
 from damsonlane.quarantine import BrokenRun
 from damsonlane.routing import Health
 from damsonlaned.dialects import Dialect
-from damsonlaned.gateway._attempt_history import Tries
-from damsonlaned.gateway._attempts import Attempts, Opened
+from damsonlaned.gateway._attempt_history import AttemptHistory
+from damsonlaned.gateway._attempts import Attempts, OpenedExchange
 from damsonlaned.gateway._call import Call
 from damsonlaned.gateway._ended_targets import EndedTargets
-from damsonlaned.gateway._events import EventSplitter, EventTooLargeError, StreamSilentError
-from damsonlaned.gateway._failed_attempt import Unserved
-from damsonlaned.gateway._failure_responder import Endings
-from damsonlaned.gateway._final_response import FinalAnswer
+from damsonlaned.gateway._events import EventSplitter, EventTooLargeError, StreamTimeoutError
+from damsonlaned.gateway._failed_attempt import FailedAttempt
+from damsonlaned.gateway._failure_responder import FailureResponder
+from damsonlaned.gateway._final_response import FinalResponse
 from damsonlaned.gateway._limited_places import NoPlace
 from damsonlaned.gateway._read_timer import ReadTimer
 from damsonlaned.gateway._request_times import RequestTimes
 from damsonlaned.gateway._stage_work import StageResults
 from damsonlaned.gateway._stages import StageError, StageRunner
-from damsonlaned.gateway._target_wait import TargetWait, describe_nowhere
+from damsonlaned.gateway._target_wait import TargetWait, make_no_target_failure
 from damsonlaned.gateway._targets import Chosen
 from damsonlaned.http import (
     BrokenAnswerError,
@@ -37,17 +37,17 @@
 
 
 class RequestHandler:
-    """Takes one request to its final answer.
+    """Serves one request until its final response is sent.
 
     Args:
         call: the request.
-        reply: where the answer goes.
-        attempts: sends to targets.
-        stages: makes stages.
-        ended: finds out which targets have ended.
-        quarantine: keeps requests that end targets from them.
-        dialect: writes our own answers.
-        entries: returns how many entries share the fleet's budgets.
+        reply: where the response is written.
+        attempts: sends the request to targets.
+        stages: runs the stages.
+        exit_detector: detects targets that exited.
+        quarantine: lists requests under which targets exited.
+        dialect: renders responses that are not a target's.
+        count_entries: returns how many entries share the fleet's retry budget.
     """
 
     def __init__(
@@ -56,156 +56,160 @@
         reply: Reply,
         attempts: Attempts,
         stages: StageRunner,
-        ended: EndedTargets,
+        exit_detector: EndedTargets,
         quarantine: Quarantine,
         dialect: Dialect,
-        entries: Callable[[], int],
+        count_entries: Callable[[], int],
     ) -> None:
         self._call: Final = call
         self._attempts: Final = attempts
         self._stages: Final = stages
-        self._ended: Final = ended
+        self._exit_detector: Final = exit_detector
         self._quarantine: Final = quarantine
         self._is_stopped = False
-        self._entries: Final = entries
-        #: Results of its stages; None until they are made.
+        self._count_entries: Final = count_entries
+        #: Results of the stages; None until they are computed and after they are released.
         self._results: StageResults | None = None
         self._last_event: str | None = None
         self._times: Final = RequestTimes(call.arrived_at)
-        self._tries: Final = Tries(call)
-        self._answer: Final = FinalAnswer(call.request.request_id, reply, dialect)
-        self._endings: Final = Endings(self._answer, self._tries)
-        self._wait: Final = TargetWait(
-            call, attempts, stages, self._tries, self._answer, self._endings
+        self._history: Final = AttemptHistory(call)
+        self._response: Final = FinalResponse(call.request.request_id, reply, dialect)
+        self._responder: Final = FailureResponder(self._response, self._history)
+        self._target_wait: Final = TargetWait(
+            call, attempts, stages, self._history, self._response, self._responder
         )
 
     @property
     def outcome(self) -> str:
-        """How it ended, for logs and metrics."""
-        return self._answer.outcome
+        """Outcome of the request, for logs and metrics."""
+        return self._response.outcome
 
     async def run(self) -> None:
-        """Serve the request, or refuse it truly."""
-        self._attempts.note_arrival(self._call)
+        """Serve the request, or refuse it and report whether it may have run."""
+        self._attempts.record_arrival(self._call)
         try:
             async with asyncio.timeout_at(self._call.due_at) as limit:
                 with self._quarantine.watch(self._call.fingerprint, partial(self._stop, limit)):
                     await self._serve()
         except TimeoutError:
-            self._end_stopped()
+            self._end_timed_out()
         except StageError as error:
-            if not self._end_held():
-                self._endings.end_unstaged(error)
+            if not self._end_if_quarantined():
+                self._responder.end_unstaged(error)
         except asyncio.CancelledError:
-            self._answer.outcome = "caller-gone"
+            self._response.outcome = "caller-gone"
             raise
         except CallerGoneError:
-            self._answer.outcome = "caller-gone"
+            self._response.outcome = "caller-gone"
         finally:
-            self._free_results()
-            self._log_end()
+            self._release_results()
+            self._log_outcome()
 
-    # Requests that end targets.
+    # Quarantine.
 
     def _stop(self, limit: asyncio.Timeout) -> None:
-        """Stop a request that is held from now on, unless its caller has a part of its answer.
+        """Abandon a request that was just quarantined, unless its response has begun.
 
-        A target that still has it waiting drops it then, and lives.
+        A target where it is still queued drops it, and does not exit under it.
         """
-        if not self._answer.has_begun() and not limit.expired():
+        if not self._response.has_begun() and not limit.expired():
             self._is_stopped = True
             limit.reschedule(asyncio.get_running_loop().time())
 
-    def _end_stopped(self) -> None:
-        """End a request whose time is over, or which is held."""
-        is_held = self._is_stopped and self._end_held(is_under_way=self._tries.offers > 0)
-        if not is_held:
-            self._endings.end_late()
+    def _end_timed_out(self) -> None:
+        """End a request that reached its deadline or was quarantined."""
+        is_quarantined = self._is_stopped and self._end_if_quarantined(
+            is_under_way=self._history.attempt_count > 0
+        )
+        if not is_quarantined:
+            self._responder.end_timed_out()
 
-    def _end_held(self, *, is_under_way: bool = False) -> bool:
-        """End a request that is kept from targets; tell whether it is."""
-        held = self._quarantine.find_held(self._call.fingerprint)
-        if held is None:
+    def _end_if_quarantined(self, *, is_under_way: bool = False) -> bool:
+        """End the request if it is quarantined; return whether it is."""
+        quarantined = self._quarantine.find_held(self._call.fingerprint)
+        if quarantined is None:
             return False
-        self._endings.end_held(held, is_under_way=is_under_way)
+        self._responder.end_quarantined(quarantined, is_under_way=is_under_way)
         return True
 
     # Attempts.
 
     async def _serve(self) -> None:
-        # Whatever brings a request to a target passes here: the first offer of a caller's try,
-        # the next ones, and streams taken up elsewhere.  In other tries, at other entries, it
-        # may have ended targets, which limits for one try never see.
-        while not self._end_held() and not await self._wait.ends_request(self._results):
-            unserved = await self._try_once()
-            if unserved is None:
+        # Every attempt passes this check: the first one, retries, and resumed streams.  Targets
+        # may have exited under the same request at other entries, which the limits on the
+        # attempts of one request do not cover.
+        while not self._end_if_quarantined() and not await self._target_wait.end_if_unavailable(
+            self._results
+        ):
+            failure = await self._attempt_once()
+            if failure is None:
                 return
-            self._tries.note_unserved(
-                may_have_run=unserved.may_have_run, is_told_off=unserved.is_told_off
+            self._history.record_failure(
+                may_have_run=failure.may_have_run, is_throttled=failure.is_throttled
             )
-            if unserved.needs_inputs:
-                self._free_results()
-            if unserved.is_nowhere or not self._may_try_again():
-                away = self._attempts.find_return_seconds(self._call)
-                self._endings.end_unserved(unserved, max(away, unserved.return_seconds))
+            if failure.needs_inputs:
+                self._release_results()
+            if failure.has_no_target or not self._may_retry():
+                backoff = self._attempts.find_return_seconds(self._call)
+                self._responder.end_failed(failure, max(backoff, failure.return_seconds))
                 return
 
-    async def _try_once(self) -> Unserved | None:
-        """Send the request to one target; return None once the caller has its answer."""
+    async def _attempt_once(self) -> FailedAttempt | None:
+        """Send the request to one target; return None once the response is complete."""
         if self._results is None:
-            is_begun = self._answer.has_begun()
+            is_begun = self._response.has_begun()
             self._results = await self._stages.make(self._call, is_begun=is_begun)
-            self._times.note_staged()
-        chosen = await self._wait.find_place(self._results)
+            self._times.record_staged()
+        chosen = await self._target_wait.find_target(self._results)
         if isinstance(chosen, NoPlace):
-            nowhere = describe_nowhere(chosen)
-            self._log_unserved(nowhere)
-            return nowhere
-        if self._tries.offers == 0:
+            no_target = make_no_target_failure(chosen)
+            self._log_failure(no_target)
+            return no_target
+        if self._history.attempt_count == 0:
             self._attempts.count_first(self._call)
-        self._tries.note_offer(chosen.target)
-        self._times.note_sent()
-        unserved = await self._send(chosen)
-        if unserved is not None:
-            self._log_unserved(unserved, chosen)
-            await self._note_loss(unserved, chosen)
-        return unserved
-
-    async def _note_loss(self, unserved: Unserved, chosen: Chosen) -> None:
-        """Note that a target may not have survived the request."""
-        runs = (self._describe_run(),)
-        if unserved.loss == "broken":
-            if await self._ended.note_broken(LostTarget.of(chosen.named), runs):
+        self._history.record_attempt(chosen.target)
+        self._times.record_sent()
+        failure = await self._send(chosen)
+        if failure is not None:
+            self._log_failure(failure, chosen)
+            await self._report_loss(failure, chosen)
+        return failure
+
+    async def _report_loss(self, failure: FailedAttempt, chosen: Chosen) -> None:
+        """Report a lost response, since the target may have exited under the request."""
+        runs = (self._make_broken_run(),)
+        if failure.loss == "broken":
+            if await self._exit_detector.note_broken(LostTarget.of(chosen.named), runs):
                 await self._quarantine.settle(self._call.fingerprint)
-        elif unserved.loss == "silent":
-            self._ended.note_silent(LostTarget.of(chosen.named), runs)
+        elif failure.loss == "silent":
+            self._exit_detector.note_silent(LostTarget.of(chosen.named), runs)
 
-    async def _send(self, chosen: Chosen) -> Unserved | None:
+    async def _send(self, chosen: Chosen) -> FailedAttempt | None:
         try:
             opened = await self._open(chosen)
         except NotSentError as error:
-            return Unserved(detail=str(error), may_have_run=False)
+            return FailedAttempt(detail=str(error), may_have_run=False)
         except BrokenAnswerError as error:
-            return Unserved(detail=str(error), may_have_run=True, loss="broken")
+            return FailedAttempt(detail=str(error), may_have_run=True, loss="broken")
         except TimeoutError:
             detail = "the target did not answer in time"
-            return Unserved(detail=detail, may_have_run=True, loss="silent")
+            return FailedAttempt(detail=detail, may_have_run=True, loss="silent")
         if opened.signs.is_stream and opened.head.status == 200:
-            return await self._pass_stream(opened)
-        return await self._pass_whole(opened)
+            return await self._forward_stream(opened)
+        return await self._forward_whole(opened)
 
-    async def _open(self, chosen: Chosen) -> Opened:
-        """Send the request and wait for the head of the answer.
+    async def _open(self, chosen: Chosen) -> OpenedExchange:
+        """Send the request and wait for the head of the response.
 
         Raises:
-            NotSentError: it was not sent.
-            BrokenAnswerError: it was sent and no answer came.
-            TimeoutError: the target was silent for too long.
+            NotSentError: the request was not sent.
+            BrokenAnswerError: it was sent and the connection broke before a response.
+            TimeoutError: the target did not respond in time.
         """
         inputs = self._results.inputs if self._results is not None else ()
-        reading = ReadTimer(self._free_read_results)
+        reading = ReadTimer(self._release_read_results)
         try:
-            async with asyncio.timeout(self._tries.silence_seconds()):
+            async with asyncio.timeout(self._history.response_timeout_seconds()):
                 return await self._attempts.open(
                     self._call, chosen, inputs, self._last_event, reading.start
                 )
@@ -213,21 +217,21 @@
             self._attempts.finish_unopened(chosen, "bad")
             raise
         except BaseException:
-            # The caller left or the deadline came, which says nothing about the target.
+            # The caller disconnected or the deadline passed: not a failure of the target.
             self._attempts.finish_unopened(chosen, "neutral")
             raise
         finally:
             reading.cancel()
 
-    def _may_try_again(self) -> bool:
-        """Tell whether the request may be sent to another target, and pay for it."""
-        if not self._tries.may_go_on(has_begun=self._answer.has_begun()):
+    def _may_retry(self) -> bool:
+        """Return whether the request may be retried, and charge the retry budget for it."""
+        if not self._history.may_retry(has_begun=self._response.has_begun()):
             return False
-        return self._attempts.may_repeat(self._call, self._entries())
+        return self._attempts.try_spend_retry(self._call, self._count_entries())
 
-    # Whole answers.
+    # Whole responses.
 
-    async def _pass_whole(self, opened: Opened) -> Unserved | None:
+    async def _forward_whole(self, opened: OpenedExchange) -> FailedAttempt | None:
         health: Health = "neutral"
         try:
             body = await opened.exchange.body.read_whole()
@@ -235,30 +239,30 @@
         except BrokenAnswerError as error:
             health = "bad"
             has_run = not opened.signs.has_not_run
-            return Unserved(detail=str(error), may_have_run=has_run, loss="broken")
+            return FailedAttempt(detail=str(error), may_have_run=has_run, loss="broken")
         finally:
             self._attempts.finish(opened, health)
         head = opened.head
         response = HttpResponse(status=head.status, headers=head.headers, body=body)
-        unserved = self._find_failure(opened, response)
-        if unserved is None:
-            self._free_results()
-            self._answer.send_whole(response)
+        failure = self._find_failure(opened, response)
+        if failure is None:
+            self._release_results()
+            self._response.send_whole(response)
             if response.status < 300:
                 self._quarantine.note_served(self._call.fingerprint)
-        return unserved
+        return failure
 
-    def _find_failure(self, opened: Opened, response: HttpResponse) -> Unserved | None:
-        """Return why a whole answer doesn't serve the caller, or None if it does."""
+    def _find_failure(self, opened: OpenedExchange, response: HttpResponse) -> FailedAttempt | None:
+        """Return why a whole response is not passed to the caller, or None if it is."""
         if opened.signs.has_not_run:
-            return Unserved(
+            return FailedAttempt(
                 detail=f"the target turned it away with {response.status}",
                 may_have_run=False,
                 needs_inputs=response.status == 409,
-                is_told_off=opened.signs.says_what_it_takes(),
+                is_throttled=opened.signs.says_what_it_takes(),
             )
-        if response.status >= 500 or self._answer.has_begun():
-            return Unserved(
+        if response.status >= 500 or self._response.has_begun():
+            return FailedAttempt(
                 detail=f"the target failed with {response.status}",
                 may_have_run=True,
                 response=response,
@@ -267,103 +271,109 @@
 
     # Event streams.
 
-    async def _pass_stream(self, opened: Opened) -> Unserved | None:
-        """Pass whole events on as they come; return None once the stream is whole."""
+    async def _forward_stream(self, opened: OpenedExchange) -> FailedAttempt | None:
+        """Forward each complete event as it arrives; return None once the stream is complete."""
         splitter = EventSplitter()
         health: Health = "neutral"
         try:
-            async for data in self._parts_in_time(opened):
+            async for data in self._read_parts(opened):
                 for event in splitter.feed(data):
-                    await self._pass_event(opened, event.data, event.identity)
-            if splitter.rest():
+                    await self._forward_event(opened, event.data, event.event_id)
+            if splitter.remainder():
                 raise BrokenAnswerError("the stream ended inside an event")
-            if not self._answer.has_begun():
-                self._answer.start(opened.head)
-            self._answer.finish()
+            if not self._response.has_begun():
+                self._response.start(opened.head)
+            self._response.finish()
             self._quarantine.note_served(self._call.fingerprint)
             health = "good"
             return None
         except (BrokenAnswerError, EventTooLargeError) as error:
             health = "bad"
-            return Unserved(detail=str(error), may_have_run=True, loss="broken")
-        except StreamSilentError as error:
+            return FailedAttempt(detail=str(error), may_have_run=True, loss="broken")
+        except StreamTimeoutError as error:
             health = "bad"
-            return Unserved(detail=str(error), may_have_run=True, loss="silent")
+            return FailedAttempt(detail=str(error), may_have_run=True, loss="silent")
         finally:
             self._attempts.finish(opened, health)
 
-    async def _pass_event(self, opened: Opened, data: bytes, identity: str | None) -> None:
-        if not self._answer.has_begun():
-            # The first event says that the target has read its inputs.
-            self._free_results()
-            self._answer.start(opened.head)
-            seconds = self._times.note_first_event()
+    async def _forward_event(
+        self, opened: OpenedExchange, data: bytes, event_id: str | None
+    ) -> None:
+        if not self._response.has_begun():
+            # The first event shows that the target has read its inputs.
+            self._release_results()
+            self._response.start(opened.head)
+            seconds = self._times.record_first_event()
             if opened.chosen.placed is not None:
                 opened.chosen.placed.note_read(self._times.seconds_since_sent())
-            if self._tries.offers == 1:
+            if self._history.attempt_count == 1:
                 self._stages.note_first_event(self._call, seconds)
-        self._times.note_event()
-        await self._answer.send(data)
-        if identity is not None:
-            self._last_event = identity
+        self._times.record_event()
+        await self._response.send(data)
+        if event_id is not None:
+            self._last_event = event_id
+
+    async def _read_parts(self, opened: OpenedExchange) -> AsyncIterator[bytes]:
+        """Yield the parts of a stream.
 
-    async def _parts_in_time(self, opened: Opened) -> AsyncIterator[bytes]:
-        """Yield the parts of a stream; one that falls silent is broken if it may be resumed."""
+        Raises:
+            StreamTimeoutError: nothing arrived for too long, and the stream may be resumed.
+        """
         parts = opened.exchange.body.parts()
         while True:
             try:
-                pause = self._tries.pause_seconds(has_begun=self._answer.has_begun())
+                pause = self._history.pause_seconds(has_begun=self._response.has_begun())
                 async with asyncio.timeout(pause):
                     part = await anext(parts)
             except StopAsyncIteration:
                 return
             except TimeoutError:
-                raise StreamSilentError("the stream fell silent") from None
+                raise StreamTimeoutError("the stream fell silent") from None
             yield part
 
     # Results of stages, and the log.
 
-    def _free_read_results(self) -> None:
-        """Give up the inputs that the target has read, if others wait for their room.
+    def _release_read_results(self) -> None:
+        """Release the inputs that the target has read, if pieces wait for result memory.
 
-        Where nobody waits they are kept until the first event, since another target
-        needs them if this one fails.
+        Otherwise they are kept until the first event, since a retry at another target needs
+        them.
         """
         if self._results is not None and self._stages.is_room_wanted(self._results):
-            self._free_results()
+            self._release_results()
 
-    def _free_results(self) -> None:
+    def _release_results(self) -> None:
         if self._results is not None:
             results, self._results = self._results, None
             self._stages.free(results)
 
-    def _describe_run(self) -> BrokenRun:
-        """Return what broke off: this request, some time after it was sent."""
+    def _make_broken_run(self) -> BrokenRun:
+        """Return the record of a response that broke off."""
         return BrokenRun(
             fingerprint=self._call.fingerprint, seconds=self._times.seconds_since_sent()
         )
 
-    def _log_unserved(self, unserved: Unserved, chosen: Chosen | None = None) -> None:
+    def _log_failure(self, failure: FailedAttempt, chosen: Chosen | None = None) -> None:
         fields = {
             "target": chosen.target if chosen is not None else "",
-            "reason": unserved.detail,
-            "may_have_run": unserved.may_have_run,
+            "reason": failure.detail,
+            "may_have_run": failure.may_have_run,
         }
-        _LOG.info("not served", extra={**self._call.log_fields(), **fields})
+        _LOG.info("attempt failed", extra={**self._call.log_fields(), **fields})
 
-    def _log_end(self) -> None:
+    def _log_outcome(self) -> None:
         call = self._call
         _LOG.info(
             "ended",
             extra={
                 **call.log_fields(),
                 "outcome": self.outcome,
-                "reason": self._answer.detail,
+                "reason": self._response.detail,
                 "seconds": round(self._times.age(), 3),
                 "aim_seconds": call.route.aim_seconds,
                 "pause_aim_seconds": call.route.pause_seconds,
                 **self._times.log_fields(),
-                "offers": self._tries.offers,
+                "offers": self._history.attempt_count,
                 "last_event": self._last_event,
             },
         )
--- a/packages/damsonlaned/src/damsonlaned/gateway/_request_times.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_request_times.py
@@ -1,4 +1,4 @@
-"""When a request had its stages and the first event of its answer."""
+"""Times of one request: end of its stages, first event, and pauses of its response."""
 
 import asyncio
 from typing import Final
@@ -8,50 +8,50 @@
     """Times of one request, in seconds since it arrived.
 
     Args:
-        arrived_at: when it had arrived, by the loop's clock.
+        arrived_at: arrival time, by the loop's clock.
     """
 
     def __init__(self, arrived_at: float) -> None:
         self._arrived_at: Final = arrived_at
         self._staged_seconds = 0.0
         self._sent_seconds = 0.0
-        self._first_seconds: float | None = None
-        self._event_seconds: float | None = None
+        self._first_event_seconds: float | None = None
+        self._last_event_seconds: float | None = None
         self._longest_pause: float | None = None
 
     def age(self) -> float:
         """Return the seconds since the request arrived."""
         return asyncio.get_running_loop().time() - self._arrived_at
 
-    def note_staged(self) -> None:
-        """Note that its stages are made."""
+    def record_staged(self) -> None:
+        """Record that its stages have completed."""
         self._staged_seconds = self.age()
 
-    def note_sent(self) -> None:
-        """Note that it is sent to a target."""
+    def record_sent(self) -> None:
+        """Record that it is sent to a target."""
         self._sent_seconds = self.age()
 
     def seconds_since_sent(self) -> float:
-        """Return the seconds since it was sent to a target last."""
+        """Return the seconds since it was last sent to a target."""
         return self.age() - self._sent_seconds
 
-    def note_first_event(self) -> float:
-        """Note the first event of its answer and return the seconds since its stages were made."""
-        self._first_seconds = self.age()
-        return self._first_seconds - self._staged_seconds
+    def record_first_event(self) -> float:
+        """Record the first event and return the seconds since the stages completed."""
+        self._first_event_seconds = self.age()
+        return self._first_event_seconds - self._staged_seconds
 
-    def note_event(self) -> None:
-        """Note an event of its answer; the pauses between them count for the caller."""
+    def record_event(self) -> None:
+        """Record an event of the response, for the longest pause between events."""
         now = self.age()
-        if self._event_seconds is not None:
-            self._longest_pause = max(self._longest_pause or 0.0, now - self._event_seconds)
-        self._event_seconds = now
+        if self._last_event_seconds is not None:
+            self._longest_pause = max(self._longest_pause or 0.0, now - self._last_event_seconds)
+        self._last_event_seconds = now
 
     def log_fields(self) -> dict[str, object]:
-        """Return what the log line about its end holds of them."""
+        """Return the fields for the log line about its outcome."""
         return {
             "staged_seconds": round(self._staged_seconds, 3),
-            "first_event_seconds": _round(self._first_seconds),
+            "first_event_seconds": _round(self._first_event_seconds),
             "longest_pause_seconds": _round(self._longest_pause),
         }
 
--- a/packages/damsonlaned/src/damsonlaned/gateway/_target_wait.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_target_wait.py
@@ -1,14 +1,14 @@
-"""Waiting for a target that takes a request, or ending the request while none does."""
+"""Wait for a target that accepts a request, or end the request while none does."""
 
 import asyncio
 from typing import Final
 
-from damsonlaned.gateway._attempt_history import Tries
+from damsonlaned.gateway._attempt_history import AttemptHistory
 from damsonlaned.gateway._attempts import Attempts
 from damsonlaned.gateway._call import Call
-from damsonlaned.gateway._failed_attempt import Unserved
-from damsonlaned.gateway._failure_responder import Endings
-from damsonlaned.gateway._final_response import FinalAnswer
+from damsonlaned.gateway._failed_attempt import FailedAttempt
+from damsonlaned.gateway._failure_responder import FailureResponder
+from damsonlaned.gateway._final_response import FinalResponse
 from damsonlaned.gateway._limited_places import LEAST_PAUSE_SECONDS, NoPlace
 from damsonlaned.gateway._stage_work import StageResults
 from damsonlaned.gateway._stages import StageRunner
@@ -16,18 +16,18 @@
 
 
 class TargetWait:
-    """Looks, for one request, for targets that take it.
+    """Finds a target that accepts one request.
 
-    Its caller hears at once when no target does, and when one will again.  What has been made
-    for it already is kept for that time if it is in time then.
+    While no target accepts it, the request is refused at once with the time until one will.  A
+    request for which work was done already waits instead, if the wait is short enough.
 
     Args:
         call: the request.
-        attempts: knows the targets.
-        stages: makes its stages.
-        tries: what it has been through.
-        answer: what its caller has of it.
-        endings: ends it.
+        attempts: chooses targets.
+        stages: runs the stages.
+        history: attempts of the request so far.
+        response: the response to the caller.
+        responder: ends the request.
     """
 
     def __init__(
@@ -35,81 +35,83 @@
         call: Call,
         attempts: Attempts,
         stages: StageRunner,
-        tries: Tries,
-        answer: FinalAnswer,
-        endings: Endings,
+        history: AttemptHistory,
+        response: FinalResponse,
+        responder: FailureResponder,
     ) -> None:
         self._call: Final = call
         self._attempts: Final = attempts
         self._stages: Final = stages
-        self._tries: Final = tries
-        self._answer: Final = answer
-        self._endings: Final = endings
+        self._history: Final = history
+        self._response: Final = response
+        self._responder: Final = responder
 
-    async def ends_request(self, made: StageResults | None) -> bool:
-        """End the request if it should not be sent or begun now; tell whether it ended.
+    async def end_if_unavailable(self, results: StageResults | None) -> bool:
+        """End the request if it should not be sent or begun now; return whether it ended.
 
         Args:
-            made: the results of its stages; None where they are not made yet.
+            results: results of its stages; None where they are not computed yet.
         """
-        return await self._end_away(made) or await self._end_full(made)
+        return await self._end_if_backed_off(results) or await self._end_if_rate_limited(results)
 
-    async def find_place(self, made: StageResults) -> Chosen | NoPlace:
-        """Choose a target, and wait for one where that is worth it."""
+    async def find_target(self, results: StageResults) -> Chosen | NoPlace:
+        """Choose a target; wait for one if otherwise work for the request would be lost."""
         while True:
-            chosen = await self._attempts.choose(self._call, self._tries.tried, made.places)
+            chosen = await self._attempts.choose(
+                self._call, self._history.tried_targets, results.places
+            )
             if not isinstance(chosen, NoPlace) or chosen.wait_seconds <= 0:
                 return chosen
-            if not self._has_work(made) or chosen.wait_seconds >= self._seconds_to_wait():
+            if not self._has_progress(results) or chosen.wait_seconds >= self._max_wait_seconds():
                 return chosen
             await asyncio.sleep(max(LEAST_PAUSE_SECONDS, chosen.wait_seconds))
 
-    async def _end_away(self, made: StageResults | None) -> bool:
-        """End a request whose targets all want nothing for a while."""
-        away = self._attempts.find_return_seconds(self._call)
-        # The time of its stages is reckoned only where it matters: it takes longer than the rest.
-        if away <= 0 or away <= self._seconds_ahead(made):
+    async def _end_if_backed_off(self, results: StageResults | None) -> bool:
+        """End the request if all targets back off for too long; return whether it ended."""
+        backoff = self._attempts.find_return_seconds(self._call)
+        # The duration of the stages is estimated only where it matters, since that is expensive.
+        if backoff <= 0 or backoff <= self._expected_stage_seconds(results):
             return False
-        if self._has_work(made) and away < self._seconds_to_wait():
-            await asyncio.sleep(away)
+        if self._has_progress(results) and backoff < self._max_wait_seconds():
+            await asyncio.sleep(backoff)
             return False
-        self._endings.end_away(away)
+        self._responder.end_backed_off(backoff)
         return True
 
-    async def _end_full(self, made: StageResults | None) -> bool:
-        """End a request that should not begin, since its targets have what they take.
+    async def _end_if_rate_limited(self, results: StageResults | None) -> bool:
+        """End the request before its stages if its targets are at their rate limits.
 
-        Its stages would be made in vain.
+        Otherwise its stages would be computed in vain.
         """
-        is_begun = made is not None or self._answer.has_begun()
+        is_begun = results is not None or self._response.has_begun()
         if is_begun or not self._stages.has_work(self._call):
             return False
-        full = await self._attempts.find_begin_wait(self._call)
-        if full is None:
+        limited = await self._attempts.find_begin_wait(self._call)
+        if limited is None:
             return False
-        self._endings.end_unserved(describe_nowhere(full), full.return_seconds)
+        self._responder.end_failed(make_no_target_failure(limited), limited.return_seconds)
         return True
 
-    def _seconds_ahead(self, made: StageResults | None) -> float:
-        """Return the time that passes before the request goes to a target: that of its stages."""
-        return 0.0 if made is not None else self._stages.expect_seconds(self._call)
+    def _expected_stage_seconds(self, results: StageResults | None) -> float:
+        """Return the expected time until the request is sent, which is that of its stages."""
+        return 0.0 if results is not None else self._stages.expect_seconds(self._call)
 
-    def _has_work(self, made: StageResults | None) -> bool:
-        """Tell whether something was made for the request that would be lost with it."""
-        return (made is not None and bool(made.inputs)) or self._answer.has_begun()
+    def _has_progress(self, results: StageResults | None) -> bool:
+        """Return whether refusing the request would lose stage results or a begun response."""
+        return (results is not None and bool(results.inputs)) or self._response.has_begun()
 
-    def _seconds_to_wait(self) -> float:
-        """Return how long targets may be away while what was made is kept for them."""
-        if self._answer.has_begun():
+    def _max_wait_seconds(self) -> float:
+        """Return for how long the request may wait for a target."""
+        if self._response.has_begun():
             return self._call.remaining()
         return self._call.aim_at - asyncio.get_running_loop().time()
 
 
-def describe_nowhere(place: NoPlace) -> Unserved:
-    """Return what an attempt without a target says."""
-    return Unserved(
+def make_no_target_failure(place: NoPlace) -> FailedAttempt:
+    """Return the failed attempt of a request for which there is no target."""
+    return FailedAttempt(
         detail=place.detail,
         may_have_run=False,
-        is_nowhere=True,
+        has_no_target=True,
         return_seconds=place.return_seconds,
     )
--- a/packages/damsonlaned/src/damsonlaned/gateway/_targets.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_targets.py
@@ -1,4 +1,4 @@
-"""Targets of all services as this entry uses them: choice, health, connections."""
+"""Select targets for requests; track their health and the connections to them."""
 
 import asyncio
 import random
@@ -25,24 +25,24 @@
 from damsonlaned.gateway._view import FleetView
 from damsonlaned.http import ConnectionPool
 
-#: Connections that one entry may always open to a target, however many entries share it.
-LEAST_CONNECTIONS: Final = 2
+#: Least number of connections that one entry may open to a target, however many entries share it.
+MIN_CONNECTIONS: Final = 2
 #: Share of a target's connections that the fleet uses, so that entries which
-#: do not know of each other yet stay within its limit together.
+#: do not know each other yet stay within its limit together.
 CONNECTION_SHARE: Final = 0.9
-#: Policy for engines, whose memory keeps prefixes.
+#: Routing policy for engines, which cache prompt prefixes.
 ENGINE_POLICY: Final = "prefix-affinity"
-#: Policy for everything else.
-PLAIN_POLICY: Final = "paced"
+#: Routing policy for all other targets.
+DEFAULT_POLICY: Final = "paced"
 
 
 @dataclass(frozen=True, kw_only=True)
 class Prompt:
     """What the choice of an engine depends on; empty for other targets."""
 
-    #: The last part of the prompt that other requests share, or an empty string.
+    #: Id of the last prompt segment that other requests share, or an empty string.
     affinity: str = ""
-    #: Its length in tokens.
+    #: Length of the prompt, in tokens.
     tokens: int = 0
 
 
@@ -56,29 +56,30 @@
     target: str
     #: Its address.
     address: str
-    #: Its start.
+    #: Start time of its incarnation.
     start: int
     #: Connections to it.
     connections: ConnectionPool
-    #: What the owner that placed the prompt is told of it; None where none did.
+    #: The placement that is reported back to the owner that placed the prompt, or None.
     placed: PlacedPrompt | None = None
-    #: Address of the engine from which it should take parts of the prompt, or an empty string.
+    #: Address of the engine from which it should copy cached prompt segments, or an empty string.
     source_address: str = ""
 
     @property
     def named(self) -> TargetStart:
-        """The start that was chosen."""
+        """The incarnation that was chosen."""
         return TargetStart(target=self.target, address=self.address, start=self.start)
 
 
 class Targets:
-    """Chooses targets and remembers how they did.
+    """Chooses targets and records their health.
 
     Args:
-        view: where targets and services stand.
+        view: targets and services of the fleet.
         data_centre: data centre of this entry.
         entries: returns how many entries share the targets.
-        own_address: internal address of this entry, by which its share of cold targets goes.
+        own_address: internal address of this entry, which decides its share of the requests to
+            targets that warm up.
     """
 
     def __init__(
@@ -89,12 +90,12 @@
         own_address: str = "",
     ) -> None:
         self._own_address: Final = own_address
-        self._gate: Final = ColdGate()
-        self._starts: dict[str, int] = {}
+        self._warm_up_gate: Final = ColdGate()
+        self._incarnations: dict[str, int] = {}
         self._view: Final = view
         self._data_centre: Final = data_centre
         self._entries: Final = entries
-        self._books: dict[str, TargetBook] = {}
+        self._tables: dict[str, TargetBook] = {}
         self._sides: dict[str, PromptSides] = {}
         self._connections: dict[str, ConnectionPool] = {}
         self._misdirected: set[str] = set()
@@ -107,7 +108,7 @@
         service: Service,
         prompt: Prompt,
         avoid: Collection[str],
-        at_rate: Collection[str] = (),
+        at_rate_limit: Collection[str] = (),
     ) -> Chosen | None:
         """Choose a target, or return None when the service has none that may be used.
 
@@ -115,63 +116,74 @@
             service: the service.
             prompt: what the choice of an engine depends on.
             avoid: targets that failed the request already.
-            at_rate: targets that get nothing now, since they have what they named.
+            at_rate_limit: targets that get nothing now, since they are at their rate limits.
         """
         records = self._view.targets_of(service.name)
-        cold = self._view.list_cold(service.name)
+        warming_up = self._view.list_cold(service.name)
         closed = self._list_closed(records) | self._view.list_backing_off(service.name)
-        shut = {*closed, *self._misdirected, *self._list_shut(service, cold), *at_rate}
+        excluded = {
+            *closed,
+            *self._misdirected,
+            *self._list_over_warm_up_limit(service, warming_up),
+            *at_rate_limit,
+        }
         silent = {record.target for record in records if record.standing == "silent"}
-        choice = self._book(service.name).choose(
-            ENGINE_POLICY if service.engine is not None else PLAIN_POLICY,
+        choice = self._table(service.name).choose(
+            ENGINE_POLICY if service.engine is not None else DEFAULT_POLICY,
             Origin(data_centre=self._data_centre, affinity=prompt.affinity),
             prefer=self._find_side(service, prompt, records),
             avoid=avoid,
             silent=silent,
-            leaving=shut,
+            leaving=excluded,
             now=self._now(),
             randomness=self._randomness,
         )
         if choice is None:
             return None
-        if choice.target in cold:
-            self._gate.note(choice.target, self._now())
+        if choice.target in warming_up:
+            self._warm_up_gate.note(choice.target, self._now())
         return self._make_chosen(service, choice)
 
     def _list_closed(self, records: Sequence[TargetRecord]) -> set[str]:
-        """Return the targets that get nothing new, since they leave or are evacuated."""
+        """Return the targets that get nothing new, since they are draining or evacuated."""
         return {record.target for record in records if not self._view.is_open(record)}
 
-    def _list_shut(self, service: Service, cold: Sequence[str]) -> list[str]:
-        """Return the cold targets to which this entry may send nothing by itself for now."""
-        bound = self._view.find_cold_bound(service.name) if cold else None
+    def _list_over_warm_up_limit(self, service: Service, warming_up: Sequence[str]) -> list[str]:
+        """Return the targets that have had this entry's share of their warm-up limit."""
+        bound = self._view.find_cold_bound(service.name) if warming_up else None
         if bound is None:
             return []
         entries = {entry.address for entry in self._view.entries}
         limit = bound.entries_limit()
         now = self._now()
-        shares = {name: find_entry_share(name, self._own_address, entries, limit) for name in cold}
-        return [name for name in cold if not self._gate.admits(name, shares[name], now)]
+        shares = {
+            name: find_entry_share(name, self._own_address, entries, limit) for name in warming_up
+        }
+        return [
+            name for name in warming_up if not self._warm_up_gate.admits(name, shares[name], now)
+        ]
 
     def take_placed(self, service: Service, placed: PlacedPrompt) -> Chosen | None:
-        """Return the engine at which a prompt was placed; None if it is not known here."""
-        choice = self._book(service.name).take(placed.target)
+        """Return the engine at which a prompt was placed; None if this entry does not list it."""
+        choice = self._table(service.name).take(placed.target)
         if choice is None:
             return None
         chosen = self._make_chosen(service, choice)
-        return replace(chosen, placed=placed, source_address=self._find_source(service, placed))
+        return replace(
+            chosen, placed=placed, source_address=self._find_source_address(service, placed)
+        )
 
     def take_permitted(self, service: Service, target: str) -> Chosen | None:
-        """Return the target that a permit names; None if it is not known here."""
-        choice = self._book(service.name).take(target)
+        """Return the target that a permit names; None if this entry does not list it."""
+        choice = self._table(service.name).take(target)
         return self._make_chosen(service, choice) if choice is not None else None
 
     def give_back(self, chosen: Chosen) -> None:
-        """Count a target that was chosen as one that got nothing."""
+        """Undo the choice of a target to which nothing was sent."""
         self.finish(chosen, "neutral")
 
     def list_limited(self, service: Service) -> dict[str, TargetStart]:
-        """Return the targets that named a rate limit and may get requests, by their names."""
+        """Return the usable targets that announced a rate limit, by name."""
         limited = self._view.list_limited(service.name)
         if not limited:
             return {}
@@ -179,47 +191,47 @@
         return {name: named for name, named in limited.items() if name not in unusable}
 
     def are_all_limited(self, service: Service) -> bool:
-        """Tell whether each target that may get requests named a rate limit."""
+        """Return whether all usable targets announced a rate limit."""
         limited = self.list_limited(service)
         unusable = {*self.list_unusable(service), *limited}
         records = self._view.targets_of(service.name)
         return bool(limited) and all(record.target in unusable for record in records)
 
-    def _find_source(self, service: Service, placed: PlacedPrompt) -> str:
-        """Return the address of the engine that gives parts of a prompt, or an empty string."""
+    def _find_source_address(self, service: Service, placed: PlacedPrompt) -> str:
+        """Return the address of the engine to copy prompt segments from, or an empty string."""
         records = self._view.open_targets_of(service.name)
         named = [record.address for record in records if record.target == placed.source]
         return named[0] if named else ""
 
     def list_unusable(self, service: Service) -> set[str]:
-        """Return the targets that this entry should not use now."""
-        ejected = self._book(service.name).list_ejected(self._now())
+        """Return the targets that are ejected, draining, evacuated, backing off or misdirected."""
+        ejected = self._table(service.name).list_ejected(self._now())
         closed = self._list_closed(self._view.targets_of(service.name))
         backing_off = self._view.list_backing_off(service.name)
         return ejected | closed | backing_off | self._misdirected
 
     def find_return_seconds(self, service: Service) -> float:
-        """Return how long all targets of a service want nothing from this box; 0 if one may."""
+        """Return the seconds for which all targets of a service back off; 0 if one does not."""
         return self._view.find_return_seconds(service.name)
 
-    def note_prompt(self, service: Service, prompt: Prompt) -> None:
-        """Note a request that arrived, for how engines are divided."""
+    def record_prompt(self, service: Service, prompt: Prompt) -> None:
+        """Record the prompt of a new request, by which engines are partitioned."""
         if service.engine is not None:
             self._sides.setdefault(service.name, PromptSides()).note(prompt.tokens)
 
     def _find_side(
         self, service: Service, prompt: Prompt, records: Sequence[TargetRecord]
     ) -> frozenset[str]:
-        """Return the live engines for a prompt of this length; empty for other services."""
+        """Return the live engines that serve prompts of this length; empty for other services."""
         if service.engine is None:
             return frozenset()
-        places = tuple(
+        engines = tuple(
             Place(target=record.target, data_centre=record.data_centre)
             for record in records
             if record.standing == "live" and self._view.is_open(record)
         )
         sides = self._sides.setdefault(service.name, PromptSides())
-        return sides.find_side(prompt.tokens, places)
+        return sides.find_side(prompt.tokens, engines)
 
     def finish(
         self,
@@ -229,31 +241,31 @@
         load: LoadReport | None = None,
         pace: float | None = None,
     ) -> None:
-        """Count a request at a target as ended."""
-        book = self._books.get(chosen.service)
-        if book is not None:
-            book.finish(
+        """Record that a request at a target has completed, and how."""
+        target_table = self._tables.get(chosen.service)
+        if target_table is not None:
+            target_table.finish(
                 chosen.target, health, self._now(), report=load, pace=pace, start=chosen.start
             )
 
-    def note_signs(self, chosen: Chosen, signs: AnswerSigns, *, is_own: bool) -> None:
-        """Take what the head of an answer says of its target.
+    def record_signals(self, chosen: Chosen, signs: AnswerSigns, *, is_own: bool) -> None:
+        """Record the signals of a target in the head of a response.
 
         Args:
             chosen: the target.
-            signs: what the head says.
-            is_own: whether it answers the request that was sent there last.
+            signs: the signals.
+            is_own: whether it is the response to the request that was just sent there.
         """
         self._view.notices.take(chosen.named, signs, is_work=is_own)
 
-    def note_misdirected(self, chosen: Chosen) -> None:
-        """Note that another target answered at the address of this one, so it is gone."""
+    def record_misdirected(self, chosen: Chosen) -> None:
+        """Record that another target responds at the address of this one."""
         self._misdirected.add(chosen.target)
 
     def connections(self, service: Service, target: str, address: str) -> ConnectionPool:
         """Return the connections to a target."""
         share = int(CONNECTION_SHARE * service.most_connections / max(1, self._entries()))
-        most = max(LEAST_CONNECTIONS, share)
+        most = max(MIN_CONNECTIONS, share)
         connections = self._connections.get(target)
         if connections is None:
             connections = self._connections[target] = ConnectionPool(address, most)
@@ -269,31 +281,35 @@
             connections=self.connections(service, choice.target, choice.address),
         )
 
-    def _book(self, service: str) -> TargetBook:
-        if service not in self._books:
-            self._books[service] = TargetBook()
-            self._update_book(service)
-        return self._books[service]
+    def _table(self, service: str) -> TargetBook:
+        if service not in self._tables:
+            self._tables[service] = TargetBook()
+            self._update_table(service)
+        return self._tables[service]
 
     def _update(self) -> None:
-        for service in self._books:
-            self._update_book(service)
+        for service in self._tables:
+            self._update_table(service)
         table = self._view.table
-        starts = {
+        incarnations = {
             record.target: record.start
             for service in (table.document.services if table else ())
             for record in self._view.targets_of(service.name)
         }
-        known = {name for name, start in starts.items() if self._starts.get(name, start) == start}
-        # Connections to an earlier start, and what was learnt of it, end with it.
+        known = {
+            name
+            for name, start in incarnations.items()
+            if self._incarnations.get(name, start) == start
+        }
+        # Drop the connections to and the records of earlier incarnations.
         for target in set(self._connections) - known:
             self._connections.pop(target).close()
         self._misdirected &= known
-        self._gate.forget_others(known)
-        self._starts = starts
+        self._warm_up_gate.forget_others(known)
+        self._incarnations = incarnations
 
-    def _update_book(self, service: str) -> None:
-        self._books[service].update(
+    def _update_table(self, service: str) -> None:
+        self._tables[service].update(
             {
                 record.target: Standing(
                     address=record.address, data_centre=record.data_centre, start=record.start
--- a/packages/damsonlaned/src/damsonlaned/gateway/_view.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_view.py
@@ -1,4 +1,4 @@
-"""What this entry knows of the fleet; it only ever moves forward."""
+"""This entry's view of the fleet; older state never replaces newer state."""
 
 import logging
 from collections import Counter
@@ -21,58 +21,58 @@
 
 _LOG: Final = logging.getLogger(__name__)
 
-#: Targets that are logged one by one.  A list of more comes when an entry starts or was
-#: cut off for long; its lines would take longer to write than the list to read.
-MOST_LINES: Final = 40
+#: Most targets that are logged one by one.  Longer lists arrive when an entry starts or was
+#: partitioned for long; logging each of their targets would take longer than reading the list.
+MAX_LOGGED_TARGETS: Final = 40
 
 
 class FleetView:
-    """Document in force, targets, evacuations and entries, as control last said.
+    """Routing document in force, targets, evacuations and entries, as control last reported.
 
     Args:
-        dialect: reads documents.
-        cold: what cold targets bear besides the rate that the document tells.
+        dialect: reads routing documents.
+        warm_up: load that targets accept during warm-up besides the rate in the document.
         clock: returns the monotonic time, in seconds.
     """
 
     def __init__(
         self,
         dialect: Dialect,
-        cold: ColdAllowance | None = None,
+        warm_up: ColdAllowance | None = None,
         clock: Callable[[], float] = read_clock,
     ) -> None:
         self._dialect: Final = dialect
-        self._cold: Final = cold or ColdAllowance()
+        self._warm_up_allowance: Final = warm_up or ColdAllowance()
         self._clock: Final = clock
-        #: The document in force, or None until the first one was heard.
+        #: The routing document in force, or None until the first one was received.
         self.table: RouteTable | None = None
-        #: Revision of the registry of targets.
+        #: Revision of the target registry.
         self.targets_revision = 0
-        #: Revision of the list of evacuated data centres; -1 until one was heard.
+        #: Revision of the list of evacuated data centres; -1 until one was received.
         self.evacuations_revision = -1
         #: Data centres whose targets get nothing new.
         self.evacuated: frozenset[str] = frozenset()
-        #: Which requests are kept from targets.
+        #: Requests that are quarantined.
         self.quarantine: Final = KnownQuarantine()
-        #: Rate limits that targets named, to this box or to others.
+        #: Rate limits that targets announced to any box.
         self.limits: Final = RateLimits(clock, self._find_service)
-        #: What targets say of themselves to this box.
+        #: What targets announced to this box.
         self.notices: Final = TargetNotices(
-            clock, lambda: len(self.entries), self._tell, self.limits
+            clock, lambda: len(self.entries), self._notify, self.limits
         )
-        #: Entries that take requests, this one included once control lists it.
+        #: Entries that accept requests, including this one once control lists it.
         self.entries: tuple[BoxRecord, ...] = ()
         self._targets: dict[str, TargetRecord] = {}
-        self._cold_until: dict[str, float] = {}
+        self._warm_up_until: dict[str, float] = {}
         self._listeners: list[Callable[[], None]] = []
         self._entry_listeners: list[Callable[[], None]] = []
 
     def version(self) -> int:
-        """Return the version in force, 0 when there is none."""
+        """Return the version of the routing document in force; 0 if there is none."""
         return self.table.version if self.table is not None else 0
 
     def on_change(self, listener: Callable[[], None]) -> None:
-        """Call a function after each change of document or targets."""
+        """Call a function after each change of the document or the targets."""
         self._listeners.append(listener)
 
     def on_entries(self, listener: Callable[[], None]) -> None:
@@ -84,11 +84,11 @@
         return tuple(record for record in self._targets.values() if record.service == service)
 
     def find_target(self, target: str) -> TargetRecord | None:
-        """Return the record of a target, or None where control lists it no more."""
+        """Return the record of a target, or None if control does not list it."""
         return self._targets.get(target)
 
     def has_target_at(self, address: str) -> bool:
-        """Tell whether control lists a target at an address."""
+        """Return whether control lists a target at an address."""
         return any(record.address == address for record in self._targets.values())
 
     def open_targets_of(self, service: str) -> tuple[TargetRecord, ...]:
@@ -96,38 +96,38 @@
         return tuple(record for record in self.targets_of(service) if self.is_open(record))
 
     def is_open(self, record: TargetRecord) -> bool:
-        """Tell whether a target may get new work: it stays, and its data centre is in use.
+        """Return whether a target may get new work: it is not draining or evacuated.
 
-        It may say that it leaves in its answers before control hears it, or where control
-        is out of reach.
+        A target may announce its draining in a response before control reports it, or while
+        control is unreachable.
         """
         if record.standing == "leaving" or self.notices.is_leaving(record):
             return False
         return record.data_centre not in self.evacuated
 
     def list_backing_off(self, service: str) -> set[str]:
-        """Return the targets of a service that want nothing from this box for now."""
-        asked = self.notices.list_backing_off()
-        records = (self._targets[named.target] for named in asked if self.is_listed(named))
+        """Return the targets of a service that requested back-off from this box."""
+        backing_off = self.notices.list_backing_off()
+        records = (self._targets[named.target] for named in backing_off if self.is_listed(named))
         return {record.target for record in records if record.service == service}
 
     def find_return_seconds(self, service: str) -> float:
-        """Return how long all targets of a service still want nothing from this box.
+        """Return the seconds for which all targets of a service back off.
 
-        0 where one may get something, and where the service has no target.
+        0 if one of them does not, or if the service has no target.
         """
         if not self.list_backing_off(service):
             return 0.0
         records = self.open_targets_of(service)
-        lefts = [self.notices.seconds_left(TargetStart.of(record)) for record in records]
-        return min(lefts, default=0.0)
+        waits = [self.notices.seconds_left(TargetStart.of(record)) for record in records]
+        return min(waits, default=0.0)
 
     def _find_service(self, named: TargetStart) -> str:
-        """Return the service of a start that control lists, or an empty string."""
+        """Return the service of an incarnation that control lists, or an empty string."""
         return self._targets[named.target].service if self.is_listed(named) else ""
 
     def list_limited(self, service: str) -> dict[str, TargetStart]:
-        """Return the targets of a service that named a rate limit, by their names."""
+        """Return the targets of a service that announced a rate limit, by name."""
         starts = [word.named for word in self.limits.list_words()]
         listed = [named for named in starts if self.is_listed(named)]
         return {
@@ -137,22 +137,22 @@
         }
 
     def is_listed(self, named: TargetStart) -> bool:
-        """Tell whether control lists this very start of a target."""
+        """Return whether control lists this incarnation of a target."""
         record = self._targets.get(named.target)
         return record is not None and TargetStart.of(record) == named
 
     def find_cold_bound(self, service: str) -> ColdBound | None:
-        """Return what cold targets of a service bear; None where none turn cold."""
+        """Return the load limit of a service's targets during warm-up; None if there is none."""
         known = self.table.service(service) if self.table is not None else None
         if known is None or known.cold_rate <= 0:
             return None
-        return self._cold.bound(known.cold_rate)
+        return self._warm_up_allowance.bound(known.cold_rate)
 
     def list_cold(self, service: str) -> list[str]:
-        """Return the targets of a service that bear only a few requests a second for now."""
+        """Return the targets of a service that are warming up."""
         now = self._clock()
-        cold = [name for name, until in self._cold_until.items() if now < until]
-        return [name for name in cold if self._targets[name].service == service]
+        names = [name for name, until in self._warm_up_until.items() if now < until]
+        return [name for name in names if self._targets[name].service == service]
 
     def data_centre_at(self, address: str) -> str:
         """Return the data centre of the target at an address, or an empty string."""
@@ -162,68 +162,68 @@
         return ""
 
     def put_document(self, document: PackedDocument) -> None:
-        """Put a document in force if it is newer than the one held."""
+        """Apply a routing document if it is newer than the one in force."""
         if document.version <= self.version():
             return
         try:
             self.table = RouteTable(self._dialect.read_document(document.unpack()))
         except SettingsError as error:
-            # Control checked it with the same dialect, so this box is the older program.
-            _LOG.error("document not understood", extra={"fault": str(error)})
+            # Control validated it with the same dialect, so this box runs an older release.
+            _LOG.error("cannot read the routing document", extra={"fault": str(error)})
             return
         _LOG.info("document in force", extra={"version": document.version})
-        self._tell()
+        self._notify()
 
     def put_targets(self, changes: TargetChanges) -> None:
-        """Take over changes of targets unless they are older than what is held."""
+        """Apply changes of targets unless they are older than the current revision."""
         if changes.revision < self.targets_revision:
             return
         self.targets_revision = changes.revision
-        news = [record for record in changes.records if self._is_news(record)]
+        changed = [record for record in changes.records if self._is_changed(record)]
         if changes.is_whole:
             self._targets = {record.target: record for record in changes.records}
         else:
             self._targets.update({record.target: record for record in changes.records})
         for name in changes.gone:
             self._targets.pop(name, None)
-        self._note_cold(changes.records)
+        self._record_warm_up(changes.records)
         self.notices.follow(tuple(self._targets.values()))
-        _log_targets(news, changes)
-        self._tell()
+        _log_targets(changed, changes)
+        self._notify()
 
     def put_evacuations(self, evacuations: EvacuationList) -> None:
-        """Take over which data centres are evacuated, unless it is older than what is held."""
+        """Apply a list of evacuated data centres if it is newer than the current one."""
         if evacuations.revision <= self.evacuations_revision:
             return
         self.evacuations_revision = evacuations.revision
         before, self.evacuated = self.evacuated, frozenset(evacuations.data_centres)
-        self._reckon_cold(before - self.evacuated)
+        self._assume_warm_up(before - self.evacuated)
         if before != self.evacuated:
             fields = {"evacuated": sorted(self.evacuated), "revision": evacuations.revision}
             _LOG.info("evacuations in force", extra=fields)
-        self._tell()
+        self._notify()
 
     def put_entries(self, entries: tuple[BoxRecord, ...]) -> None:
-        """Take over the list of entries."""
+        """Apply a list of entries."""
         self.entries = tuple(entry for entry in entries if entry.standing == "live")
         for listener in self._entry_listeners:
             listener()
 
-    def _note_cold(self, records: Sequence[TargetRecord]) -> None:
-        """Note until when targets are cold; told late, they count as cold for too long."""
+    def _record_warm_up(self, records: Sequence[TargetRecord]) -> None:
+        """Record until when targets warm up; reports that arrive late make that too long."""
         now = self._clock()
         for record in records:
-            self._cold_until.pop(record.target, None)
+            self._warm_up_until.pop(record.target, None)
             if record.cold_seconds > 0:
-                self._cold_until[record.target] = now + record.cold_seconds
-        for name in set(self._cold_until) - set(self._targets):
-            del self._cold_until[name]
+                self._warm_up_until[record.target] = now + record.cold_seconds
+        for name in set(self._warm_up_until) - set(self._targets):
+            del self._warm_up_until[name]
 
-    def _reckon_cold(self, restored: frozenset[str]) -> None:
-        """Reckon the targets of data centres that are used again as cold.
+    def _assume_warm_up(self, restored: frozenset[str]) -> None:
+        """Assume that the targets of restored data centres have to warm up.
 
-        They got nothing for a while, and may say so only with their next heartbeat, when all
-        entries want them already.
+        They got nothing for a while, and may report their warm-up only with their next heartbeat,
+        when all entries already send to them.
         """
         services = {service.name: service for service in self._list_services()}
         now = self._clock()
@@ -231,34 +231,34 @@
             service = services.get(record.service)
             if record.data_centre in restored and service is not None and service.cold_rate > 0:
                 until = now + service.cold_start_seconds
-                known = self._cold_until.get(record.target, 0.0)
-                self._cold_until[record.target] = max(known, until)
+                known = self._warm_up_until.get(record.target, 0.0)
+                self._warm_up_until[record.target] = max(known, until)
 
     def _list_services(self) -> tuple[Service, ...]:
         return self.table.document.services if self.table is not None else ()
 
-    def _is_news(self, record: TargetRecord) -> bool:
-        """Tell whether a target is new here or stands otherwise than before."""
+    def _is_changed(self, record: TargetRecord) -> bool:
+        """Return whether a target is new, or has another standing or incarnation than before."""
         known = self._targets.get(record.target)
         if known is None:
             return True
         return (known.standing, known.start) != (record.standing, record.start)
 
-    def _tell(self) -> None:
+    def _notify(self) -> None:
         for listener in self._listeners:
             listener()
 
 
-def _log_targets(news: Sequence[TargetRecord], changes: TargetChanges) -> None:
-    """Log what is new of targets: a line each, or one line for a long list."""
-    if len(news) > MOST_LINES:
-        counts = Counter(record.standing for record in news)
+def _log_targets(changed: Sequence[TargetRecord], changes: TargetChanges) -> None:
+    """Log the targets that changed: one line each, or a single line for a long list."""
+    if len(changed) > MAX_LOGGED_TARGETS:
+        counts = Counter(record.standing for record in changed)
         fields = {"standings": dict(counts), "revision": changes.revision}
-        _LOG.info("targets known", extra=fields)
+        _LOG.info("targets updated", extra=fields)
     else:
-        for record in news:
+        for record in changed:
             _LOG.info(
-                "target known",
+                "target updated",
                 extra={
                     "target": record.target,
                     "service": record.service,
@@ -269,4 +269,4 @@
                 },
             )
     if changes.gone:
-        _LOG.info("targets gone", extra={"targets": changes.gone})
+        _LOG.info("targets removed", extra={"targets": changes.gone})
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/fleet.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/fleet.py
@@ -1,4 +1,4 @@
-"""Several entries in one process that reach each other, before the same targets."""
+"""Several connected entries in one process, with the same targets."""
 
 import unittest
 from collections.abc import Sequence
@@ -16,8 +16,8 @@
     """Entries that control lists for each other.
 
     Args:
-        count: how many.
-        document: the document in force at all of them.
+        count: number of entries.
+        document: routing document in force at all of them.
     """
 
     def __init__(self, count: int, document: RoutingDocument) -> None:
@@ -27,7 +27,7 @@
     async def start(
         self, test: unittest.IsolatedAsyncioTestCase, records: Sequence[TargetRecord]
     ) -> None:
-        """Start all entries; the test ends them."""
+        """Start all entries; the test stops them."""
         for entry in self.entries:
             service = PoolService(entry.owners, entry.placers, entry.view.limits)
             await serve(test, entry.address, Service(dict(service.handlers())))
@@ -38,12 +38,12 @@
         self.list_entries(self.entries)
 
     def list_entries(self, entries: Sequence[Entry]) -> None:
-        """Have control list some entries to all."""
+        """Let control list these entries to all entries."""
         listed = tuple(make_record(entry.address) for entry in entries)
         for entry in self.entries:
             entry.view.put_entries(listed)
 
     def put_targets(self, *records: TargetRecord) -> None:
-        """Have control list some targets to all."""
+        """Let control list these targets to all entries."""
         for entry in self.entries:
             entry.put_targets(*records)
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/harness.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/harness.py
@@ -21,7 +21,7 @@
 from damsonlane.targets import TargetChanges, TargetRecord
 from damsonlaned.dialects import NativeDialect
 from damsonlaned.gateway._attempts import Attempts
-from damsonlaned.gateway._caller_service import CallerService, GatewayParts
+from damsonlaned.gateway._caller_service import CallerService, HandlerDependencies
 from damsonlaned.gateway._ended_targets import EndedTargets
 from damsonlaned.gateway._permit_client import PermitClient
 from damsonlaned.gateway._placement_client import PlacementClient
@@ -35,7 +35,7 @@
 from damsonlaned.metrics import Metrics
 from damsonlaned.quarantine import LostTarget, Quarantine, Report
 
-#: Seconds after which a test gives up.
+#: Time-out of tests, in seconds.
 PATIENCE = 20.0
 #: The key of the only organisation.
 KEY = "florists-key"
@@ -101,7 +101,7 @@
 
 
 class StandIn:
-    """A target whose answers a test writes."""
+    """A target with scripted responses."""
 
     def __init__(self, name: str, answer: Answer, service: str = "desk") -> None:
         self.name = name
@@ -152,11 +152,11 @@
 
 def answer_with(status: int, *, has_run: bool) -> Answer:
     async def answer(request: HttpRequest, reply: Reply) -> None:
-        promise = () if has_run else ((b"Damsonlane-Run-No", b"1"),)
+        not_run_header = () if has_run else ((b"Damsonlane-Run-No", b"1"),)
         headers = (
             (b"Damsonlane-Request-Id", read_id(request)),
             (b"Signature", b"s"),
-            *promise,
+            *not_run_header,
         )
         reply.send_whole(HttpResponse(status=status, headers=headers, body=b"no"))
 
@@ -172,7 +172,13 @@
 
 
 def stream_events(first: int, last: int, *, is_cut: bool = False) -> Answer:
-    """Return an answer of events; a cut one breaks off in the middle of the next."""
+    """Return a handler that streams events.
+
+    Args:
+        first: number of the first event, unless the request resumes a stream.
+        last: number of the last event.
+        is_cut: whether the stream breaks off inside another event after the last one.
+    """
 
     async def answer(request: HttpRequest, reply: Reply) -> None:
         headers = (
@@ -181,8 +187,8 @@
             (b"Signature", str(first).encode()),
         )
         reply.start(HttpHead(status=200, headers=headers))
-        begin = int(request.find(b"last-event-id") or first - 1) + 1
-        for number in range(begin, last + 1):
+        first_number = int(request.find(b"last-event-id") or first - 1) + 1
+        for number in range(first_number, last + 1):
             await reply.send(f"id: {number}\ndata: token {number}\n\n".encode())
         if is_cut:
             await reply.send(b"id: 99\nda")
@@ -195,7 +201,7 @@
 
 
 def make_pieces(address: Callable[[], str], *, seconds: float = 0.0) -> Answer:
-    """Return the answers of a pool target at an address, which makes every piece."""
+    """Return the handler of a pool target at an address that computes every piece."""
 
     async def answer(request: HttpRequest, reply: Reply) -> None:
         body = json.loads(request.body)
@@ -203,26 +209,26 @@
             reply.send_whole(HttpResponse(status=200))
             return
         await asyncio.sleep(seconds)
-        made = [
+        results = [
             {"handle": f"{address()}/{piece['request']}-{piece['stage']}-{piece['piece']}"}
             for piece in body["pieces"]
         ]
-        reply.send_whole(HttpResponse(status=200, body=json.dumps({"pieces": made}).encode()))
+        reply.send_whole(HttpResponse(status=200, body=json.dumps({"pieces": results}).encode()))
 
     return answer
 
 
 @dataclass(frozen=True, kw_only=True)
 class Response:
-    """What a caller read."""
+    """What a caller received."""
 
     #: The status; 0 when the connection ended without a head.
     status: int
-    #: Head and body as they came.
+    #: Head and body as received.
     data: bytes
 
     def is_whole(self) -> bool:
-        """Tell whether the answer ended as its head promised."""
+        """Return whether the response is as long as its head announces."""
         head, _, body = self.data.partition(b"\r\n\r\n")
         if b"transfer-encoding: chunked" in head.lower():
             return body.endswith(b"0\r\n\r\n")
@@ -231,7 +237,7 @@
 
 
 class Control:
-    """The part of control that counts ends of targets; several entries may share one."""
+    """The part of control that counts exits of targets; several entries may share one."""
 
     def __init__(self) -> None:
         self.state = ClusterState()
@@ -243,21 +249,21 @@
             raise UnavailableError("no quorum")
         for report in reports:
             self.state.apply(report)
-        return self._tell()
+        return self._publish()
 
     def release(self, command: ReleaseRequest) -> None:
         self.state.apply(command)
-        self._tell()
+        self._publish()
 
-    def _tell(self) -> QuarantineList:
-        held = self.state.quarantine.list_for_entries()
+    def _publish(self) -> QuarantineList:
+        quarantined = self.state.quarantine.list_for_entries()
         for view in self.views:
-            view.quarantine.put(held)
-        return held
+            view.quarantine.put(quarantined)
+        return quarantined
 
 
 class Entry:
-    """A caller service with a view that a test fills."""
+    """A caller service with a view that the test updates."""
 
     def __init__(
         self,
@@ -272,14 +278,14 @@
         self.view = FleetView(dialect)
         targets = Targets(self.view, "gulberg", lambda: max(1, len(self.view.entries)), address)
         self.metrics = Metrics()
-        #: Targets that the entry found to have ended, with what broke off there.
-        self.ends: list[tuple[LostTarget, Sequence[BrokenRun]]] = []
-        self.ended = EndedTargets(self.view, self._take_end)
+        #: Targets that the entry found to have exited, with the responses lost there.
+        self.exits: list[tuple[LostTarget, Sequence[BrokenRun]]] = []
+        self.exit_detector = EndedTargets(self.view, self._record_exit)
         self.control = control or Control()
         self.control.views.append(self.view)
         self.quarantine = Quarantine(self.view.quarantine, self.control.submit)
         self.owners = PoolOwners(
-            self.view, targets, dialect, self.metrics, self.ended, self.quarantine
+            self.view, targets, dialect, self.metrics, self.exit_detector, self.quarantine
         )
         self.pools = PoolClient(self.view, self.owners, address, None)
         self.placers = PromptPlacers(self.view)
@@ -289,15 +295,15 @@
         self.pools.take_permits = permits.take
         self.attempts = Attempts(targets, placements, permits, dialect, 0.2, 10.0, slack)
         self.callers = CallerService(
-            GatewayParts(
+            HandlerDependencies(
                 view=self.view,
                 attempts=self.attempts,
                 stages=StageRunner(self.pools, lambda handle: "gulberg"),
-                ended=self.ended,
+                exit_detector=self.exit_detector,
                 quarantine=self.quarantine,
                 dialect=dialect,
                 metrics=self.metrics,
-                entries=lambda: 1,
+                count_entries=lambda: 1,
             )
         )
         self._listener = WebListener(
@@ -306,8 +312,8 @@
         self._document = document
         self._revision = 0
 
-    def _take_end(self, lost: LostTarget, runs: Sequence[BrokenRun]) -> None:
-        self.ends.append((lost, runs))
+    def _record_exit(self, lost: LostTarget, runs: Sequence[BrokenRun]) -> None:
+        self.exits.append((lost, runs))
         self.quarantine.take_end(lost, runs)
 
     async def start(self, *records: TargetRecord) -> None:
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_closed_targets.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_closed_targets.py
@@ -1,4 +1,4 @@
-"""Targets that get nothing new, or little: evacuated data centres, cold ones, newer starts."""
+"""Targets that get no or few requests: evacuated, warming up, or restarted."""
 
 import unittest
 from dataclasses import replace
@@ -43,7 +43,7 @@
 
 
 class Clock:
-    """A clock that a test moves."""
+    """A clock that the test advances."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -53,7 +53,7 @@
 
 
 class FakeTable:
-    """A document in force with one service of engines."""
+    """A routing document in force with one service of engines."""
 
     version = 1
     document = RoutingDocument(version=1, services=(ENGINE,))
@@ -101,12 +101,12 @@
         self.far = make_engines(3, "dha")
         put(self.view, 1, *self.near, *self.far)
 
-    async def test_an_older_list_changes_nothing(self) -> None:
+    async def test_an_older_list_is_ignored(self) -> None:
         evacuate(self.view, 3, "dha")
         evacuate(self.view, 2, "gulberg")
         self.assertEqual(self.view.evacuated, {"dha"})
 
-    async def test_neither_owner_nor_entry_sends_there(self) -> None:
+    async def test_neither_owner_nor_entry_chooses_evacuated_engines(self) -> None:
         evacuate(self.view, 1, "gulberg")
         placer = PromptPlacer("model", TRAITS, self.view)
         targets = Targets(self.view, "gulberg", lambda: 1)
@@ -117,7 +117,7 @@
             self.assertTrue(chosen is not None and chosen.target.startswith("dha"))
         self.assertLessEqual({"gulberg-0"}, targets.list_unusable(ENGINE))
 
-    async def test_no_engine_there_gives_parts_of_prompts(self) -> None:
+    async def test_prompt_segments_are_not_copied_from_evacuated_engines(self) -> None:
         evacuate(self.view, 1, "gulberg")
         targets = Targets(self.view, "dha", lambda: 1)
         placed = PlacedPrompt.__new__(PlacedPrompt)
@@ -125,12 +125,12 @@
         chosen = targets.take_placed(ENGINE, placed)
         self.assertEqual(chosen.source_address if chosen else None, "")
 
-    async def test_where_all_is_evacuated_nothing_is_sent(self) -> None:
+    async def test_no_target_is_chosen_if_all_data_centres_are_evacuated(self) -> None:
         evacuate(self.view, 1, "gulberg", "dha")
         targets = Targets(self.view, "gulberg", lambda: 1)
         self.assertIsNone(targets.choose(ENGINE, Prompt(), ()))
 
-    async def test_targets_that_are_used_again_count_as_cold_until_they_say_otherwise(self) -> None:
+    async def test_targets_of_a_restored_data_centre_are_assumed_to_warm_up(self) -> None:
         evacuate(self.view, 1, "gulberg")
         evacuate(self.view, 2)
         self.assertEqual(set(self.view.list_cold("model")), {r.target for r in self.near})
@@ -139,32 +139,32 @@
 
 
 class EvacuatedRequestsTest(unittest.IsolatedAsyncioTestCase):
-    async def start(self, entry: Entry, *stands: StandIn) -> list[TargetRecord]:
-        records = [await stand.start() for stand in stands]
-        for stand in stands:
-            self.addAsyncCleanup(stand.stop)
+    async def start(self, entry: Entry, *targets: StandIn) -> list[TargetRecord]:
+        records = [await target.start() for target in targets]
+        for target in targets:
+            self.addAsyncCleanup(target.stop)
         self.addAsyncCleanup(entry.stop)
         return records
 
-    async def test_requests_retries_and_pieces_go_elsewhere_at_once(self) -> None:
+    async def test_requests_retries_and_pieces_avoid_an_evacuated_data_centre_at_once(self) -> None:
         bad = StandIn("bad", answer_with(500, has_run=True))
         good = StandIn("good", answer_well)
-        makers = [StandIn(f"maker-{n}", answer_well, "pool") for n in (0, 1)]
-        for maker in makers:
-            maker._answer = make_pieces(lambda maker=maker: maker.address)  # type: ignore[misc]
+        pool_targets = [StandIn(f"maker-{n}", answer_well, "pool") for n in (0, 1)]
+        for pool_target in pool_targets:
+            pool_target._answer = make_pieces(lambda pool_target=pool_target: pool_target.address)  # type: ignore[misc]
         entry = Entry()
-        records = await self.start(entry, bad, good, *makers)
-        away = [replace(records[0], data_centre="dha"), records[1]]
-        away += [replace(records[2], data_centre="dha"), records[3]]
-        await entry.start(*away)
+        records = await self.start(entry, bad, good, *pool_targets)
+        moved_records = [replace(records[0], data_centre="dha"), records[1]]
+        moved_records += [replace(records[2], data_centre="dha"), records[3]]
+        await entry.start(*moved_records)
         entry.view.put_evacuations(EvacuationList(revision=1, data_centres=("dha",)))
         headers = "Damsonlane-Pieces: 2,1\r\nDamsonlane-Material-Key: k\r\n"
         for path in ("/ping/a", "/once/a", "/ping/b"):
             self.assertEqual((await entry.call(path)).status, 200)
         self.assertEqual((await entry.call("/staged/a", headers=headers)).status, 200)
-        self.assertEqual(len(bad.requests) + len(makers[0].requests), 0)
+        self.assertEqual(len(bad.requests) + len(pool_targets[0].requests), 0)
         entry.view.put_evacuations(EvacuationList(revision=2, data_centres=("gulberg",)))
-        # Nothing is sent where all that could run it is evacuated, and that is said at once.
+        # With all its targets evacuated, a request is refused at once.
         entry.view.put_evacuations(EvacuationList(revision=3, data_centres=("gulberg", "dha")))
         sent = len(good.requests)
         response = await entry.call("/once/b")
@@ -173,25 +173,25 @@
         self.assertEqual(len(good.requests), sent)
 
 
-class ColdTest(unittest.IsolatedAsyncioTestCase):
+class WarmUpTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.clock = Clock()
         self.view = make_view(self.clock)
-        self.cold = [replace(record, cold_seconds=3.0) for record in make_engines(4)]
-        self.warm = make_engines(2, "dha")
-        put(self.view, 1, *self.cold, *self.warm)
+        self.warming_up = [replace(record, cold_seconds=3.0) for record in make_engines(4)]
+        self.other_engines = make_engines(2, "dha")
+        put(self.view, 1, *self.warming_up, *self.other_engines)
 
-    async def test_an_owner_places_what_cold_engines_bear_and_the_rest_elsewhere(self) -> None:
+    async def test_an_owner_keeps_engines_within_their_warm_up_limit(self) -> None:
         placer = PromptPlacer("model", TRAITS, self.view)
         counts: dict[str, int] = {}
         for number in range(300):
             (placement,) = placer.place("s", (order_prompt(number, f"p{number}"),))
             counts[placement.target] = counts.get(placement.target, 0) + 1
-        for record in self.cold:
+        for record in self.warming_up:
             self.assertLessEqual(counts.get(record.target, 0), 6)
         self.assertEqual(sum(counts.values()), 300)
 
-    async def test_hundreds_of_entries_by_themselves_stay_within_a_fifth_of_the_bound(self) -> None:
+    async def test_many_entries_without_an_owner_stay_within_a_fifth_of_the_limit(self) -> None:
         addresses = [f"10.9.0.{number}:7000" for number in range(86)]
         self.view.put_entries(
             tuple(
@@ -214,51 +214,51 @@
                 chosen = targets.choose(ENGINE, Prompt(affinity=f"p{number}", tokens=9), ())
                 assert chosen is not None
                 counts[chosen.target] = counts.get(chosen.target, 0) + 1
-        for record in self.cold:
+        for record in self.warming_up:
             self.assertLessEqual(counts.get(record.target, 0), 3)
 
-    async def test_a_target_is_warm_once_its_time_is_up_or_it_says_so(self) -> None:
-        put(self.view, 2, replace(self.cold[0], cold_seconds=0.0), *self.cold[1:])
-        self.assertNotIn(self.cold[0].target, self.view.list_cold("model"))
-        self.assertIn(self.cold[1].target, self.view.list_cold("model"))
+    async def test_warm_up_ends_after_its_time_or_when_the_target_reports_it(self) -> None:
+        put(self.view, 2, replace(self.warming_up[0], cold_seconds=0.0), *self.warming_up[1:])
+        self.assertNotIn(self.warming_up[0].target, self.view.list_cold("model"))
+        self.assertIn(self.warming_up[1].target, self.view.list_cold("model"))
         self.clock.now += 3.1
         self.assertEqual(self.view.list_cold("model"), [])
 
 
-class StartedAgainTest(unittest.IsolatedAsyncioTestCase):
-    async def test_what_was_learnt_of_the_older_start_is_forgotten(self) -> None:
+class RestartTest(unittest.IsolatedAsyncioTestCase):
+    async def test_records_of_the_earlier_incarnation_are_dropped(self) -> None:
         view = make_view(Clock())
         put(view, 1, replace(RECORD, start=100))
         targets = Targets(view, "gulberg", lambda: 1)
         first = targets.choose(ENGINE, Prompt(), ())
         assert first is not None
-        targets.note_misdirected(first)
+        targets.record_misdirected(first)
         self.assertIsNone(targets.choose(ENGINE, Prompt(), ()))
         put(view, 2, replace(RECORD, start=200))
         second = targets.choose(ENGINE, Prompt(), ())
         assert second is not None
         self.assertEqual((second.target, second.start), ("e0", 200))
         self.assertIsNot(second.connections, first.connections)
-        # Endings at the older start don't count against the newer one.
+        # Failures at the earlier incarnation don't count against the later one.
         for _ in range(5):
             targets.finish(first, "bad")
         self.assertEqual(targets.list_unusable(ENGINE), set())
 
-    async def test_an_engine_that_started_again_keeps_no_parts(self) -> None:
+    async def test_a_restarted_engine_has_no_cached_segments(self) -> None:
         view = make_view(Clock())
         others = make_engines(3)
         put(view, 1, *(replace(record, start=100) for record in others))
         placer = PromptPlacer("model", TRAITS, view)
         (first,) = placer.place("s", (order_prompt(1),))
-        kept = placer._book._engines[first.target].kept
-        self.assertGreater(kept.count_kept(order_prompt(2).shared), 0)
+        cached = placer._book._engines[first.target].kept
+        self.assertGreater(cached.count_kept(order_prompt(2).shared), 0)
         put(view, 2, *(replace(record, start=200) for record in others))
-        kept = placer._book._engines[first.target].kept
-        self.assertEqual(kept.count_kept(order_prompt(3).shared), 0)
+        cached = placer._book._engines[first.target].kept
+        self.assertEqual(cached.count_kept(order_prompt(3).shared), 0)
 
 
 class DocumentTest(unittest.TestCase):
-    def test_services_whose_targets_never_turn_cold_have_no_bound(self) -> None:
+    def test_services_without_warm_up_have_no_warm_up_limit(self) -> None:
         view = FleetView(NativeDialect())
         self.assertIsNone(view.find_cold_bound(DOCUMENT.services[0].name))
 
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_ended_targets.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_ended_targets.py
@@ -1,4 +1,4 @@
-"""Telling targets that ended from single connections that broke."""
+"""Distinguish targets that exited from single connections that broke."""
 
 import asyncio
 import json
@@ -31,92 +31,90 @@
         self.record = await self.target.start()
         await self.entry.start(self.record)
         self.lost = LostTarget(target="desk-1", address=self.record.address, start=0)
-        self.ended: EndedTargets = self.entry.ended
+        self.detector: EndedTargets = self.entry.exit_detector
 
     async def asyncTearDown(self) -> None:
         await self.target.stop()
         await self.entry.stop()
 
-    async def test_a_target_that_listens_has_not_ended(self) -> None:
-        self.assertFalse(await self.ended.note_broken(self.lost, (RUN,)))
-        self.assertEqual(self.entry.ends, [])
+    async def test_a_target_that_listens_has_not_exited(self) -> None:
+        self.assertFalse(await self.detector.note_broken(self.lost, (RUN,)))
+        self.assertEqual(self.entry.exits, [])
 
-    async def test_a_target_that_refuses_connections_has_ended(self) -> None:
+    async def test_a_target_that_refuses_connections_has_exited(self) -> None:
         await self.target.stop()
-        self.assertTrue(await self.ended.note_broken(self.lost, (RUN,)))
-        self.assertEqual(self.entry.ends, [(self.lost, [RUN])])
+        self.assertTrue(await self.detector.note_broken(self.lost, (RUN,)))
+        self.assertEqual(self.entry.exits, [(self.lost, [RUN])])
 
-    async def test_a_target_that_still_listens_for_a_moment_has_ended(self) -> None:
-        """A process that ends closes its connections one by one, the listening one not first."""
-        self.assertFalse(await self.ended.note_broken(self.lost, (RUN,)))
+    async def test_a_target_that_still_listens_for_a_moment_has_exited(self) -> None:
+        """An exiting process may close its listening socket after its connections."""
+        self.assertFalse(await self.detector.note_broken(self.lost, (RUN,)))
         await self.target.stop()
         async with asyncio.timeout(PATIENCE):
-            while not self.entry.ends:
+            while not self.entry.exits:
                 await asyncio.sleep(0.01)
-        self.assertEqual(self.entry.ends, [(self.lost, [RUN])])
+        self.assertEqual(self.entry.exits, [(self.lost, [RUN])])
 
-    async def test_all_that_broke_off_at_once_is_told(self) -> None:
+    async def test_all_responses_lost_at_once_are_reported(self) -> None:
         await self.target.stop()
         others = [replace(RUN, fingerprint=name) for name in ("g", "h")]
         runs = (RUN, *others)
-        await asyncio.gather(*(self.ended.note_broken(self.lost, (run,)) for run in runs))
-        told = [run for _, told in self.entry.ends for run in told]
-        self.assertCountEqual(told, runs)
+        await asyncio.gather(*(self.detector.note_broken(self.lost, (run,)) for run in runs))
+        reported = [run for _, reported in self.entry.exits for run in reported]
+        self.assertCountEqual(reported, runs)
 
-    async def test_a_new_start_or_another_target_in_its_place_says_that_it_ended(self) -> None:
+    async def test_a_restart_or_another_target_at_its_address_shows_an_exit(self) -> None:
         again = replace(self.record, start=7)
         other = replace(self.record, target="desk-9")
         for record in (again, other):
-            self.entry.ends.clear()
+            self.entry.exits.clear()
             self.entry.put_targets(self.record)
-            self.ended.note_silent(self.lost, (RUN,))
+            self.detector.note_silent(self.lost, (RUN,))
             self.entry.put_targets(replace(self.record, sequence=2))
-            self.assertEqual(self.entry.ends, [])
+            self.assertEqual(self.entry.exits, [])
             self.entry.put_targets(record)
-            self.assertEqual(self.entry.ends, [(self.lost, [RUN])], record)
+            self.assertEqual(self.entry.exits, [(self.lost, [RUN])], record)
 
-    async def test_a_start_that_is_there_already_says_that_the_older_one_ended(self) -> None:
+    async def test_a_restart_that_is_already_listed_shows_an_exit(self) -> None:
         self.entry.put_targets(replace(self.record, start=7))
-        self.assertTrue(await self.ended.note_broken(self.lost, (RUN,)))
+        self.assertTrue(await self.detector.note_broken(self.lost, (RUN,)))
 
-    async def test_silence_is_no_end(self) -> None:
-        """A cut leaves requests without answer at many targets, and word of all comes at once."""
-        self.ended.note_silent(self.lost, (RUN,))
+    async def test_a_time_out_is_no_exit(self) -> None:
+        """In a network partition, requests time out at many targets that have not exited."""
+        self.detector.note_silent(self.lost, (RUN,))
         self.entry.put_targets(replace(self.record, standing="silent"))
         self.entry.put_targets()
-        self.assertEqual(self.entry.ends, [])
+        self.assertEqual(self.entry.exits, [])
 
-    async def test_the_planned_end_of_a_target_is_word_against_nobody(self) -> None:
+    async def test_the_exit_of_a_draining_target_counts_against_no_request(self) -> None:
         await self.target.stop()
         self.entry.put_targets(self.record.with_standing("leaving"))
-        self.assertFalse(await self.ended.note_broken(self.lost, (RUN,)))
+        self.assertFalse(await self.detector.note_broken(self.lost, (RUN,)))
         self.entry.put_targets()
-        self.assertFalse(await self.ended.note_broken(self.lost, (RUN,)))
-        self.assertEqual(self.entry.ends, [])
+        self.assertFalse(await self.detector.note_broken(self.lost, (RUN,)))
+        self.assertEqual(self.entry.exits, [])
 
-    async def test_the_end_of_a_target_that_said_so_in_an_answer_is_word_against_nobody(
-        self,
-    ) -> None:
-        """It may be gone before control hears of its leaving."""
+    async def test_the_exit_after_draining_in_a_response_counts_against_no_request(self) -> None:
+        """The target may have exited before control learns that it is draining."""
         signs = AnswerSigns(
             request_id=None, has_not_run=False, load=None, is_stream=False, is_leaving=True
         )
         self.entry.view.notices.take(TargetStart.of(self.record), signs)
         await self.target.stop()
-        self.assertFalse(await self.ended.note_broken(self.lost, (RUN,)))
-        self.assertEqual(self.entry.ends, [])
+        self.assertFalse(await self.detector.note_broken(self.lost, (RUN,)))
+        self.assertEqual(self.entry.exits, [])
 
 
 class LogTest(unittest.IsolatedAsyncioTestCase):
-    async def test_the_log_names_what_ended_which_target(self) -> None:
+    async def test_the_log_names_the_requests_under_which_a_target_exited(self) -> None:
         targets: list[StandIn] = []
 
-        async def end(request: HttpRequest, reply: Reply) -> None:
+        async def exit_under_request(request: HttpRequest, reply: Reply) -> None:
             asyncio.get_running_loop().create_task(targets[0].stop())
             await hang(request, reply)
 
         entry = Entry()
-        targets.append(StandIn("desk-1", end))
+        targets.append(StandIn("desk-1", exit_under_request))
         other = StandIn("desk-2", answer_well)
         records = [await targets[0].start(), await other.start()]
         await entry.start(records[0])
@@ -126,11 +124,11 @@
             await entry.call("/once/a")
         lines = [json.loads(json.dumps(record.__dict__, default=str)) for record in logs.records]
         accepted = [line["fingerprint"] for line in lines if line["message"] == "accepted"]
-        ended = [line for line in lines if line["message"] == "target ended"]
-        unserved = [line["target"] for line in lines if line["message"] == "not served"]
+        exits = [line for line in lines if line["message"] == "target ended"]
+        failed = [line["target"] for line in lines if line["message"] == "attempt failed"]
         self.assertEqual(len(set(accepted)), 1)
-        self.assertEqual([line["fingerprints"] for line in ended], [accepted[:1]])
-        self.assertEqual(unserved, ["desk-1"])
+        self.assertEqual([line["fingerprints"] for line in exits], [accepted[:1]])
+        self.assertEqual(failed, ["desk-1"])
         await other.stop()
         await entry.stop()
 
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_gateway.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_gateway.py
@@ -32,14 +32,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Case:
-    """How two targets answer a request, and what its caller gets."""
+    """How two targets respond to a request, and what its caller gets."""
 
     name: str
     path: str
-    #: How the first target that is tried answers, then the second.
+    #: Handlers of the first target that is tried, and of the second.
     answers: tuple[Answer, Answer]
     status: int
-    #: Requests that both targets saw together.
+    #: Number of requests at both targets together.
     sent: int
     deadline_ms: int = 2000
 
@@ -56,7 +56,7 @@
         sent=2,
     ),
     Case(
-        name="safe, failed twice: the target's own answer is passed on",
+        name="safe, failed twice: the target's own response is forwarded",
         path="/ping/a",
         answers=(answer_with(500, has_run=True), answer_with(500, has_run=True)),
         status=500,
@@ -72,21 +72,21 @@
         sent=1,
     ),
     Case(
-        name="once, turned away: it has not run, so another may",
+        name="once, rejected: it has not run, so it may be retried",
         path="/once/a",
         answers=(answer_with(503, has_run=False), answer_well),
         status=200,
         sent=2,
     ),
     Case(
-        name="once, turned away by all: a promise that it has not run",
+        name="once, rejected by all: a guarantee that it has not run",
         path="/once/a",
         answers=(answer_with(503, has_run=False), answer_with(503, has_run=False)),
         status=503,
         sent=3,
     ),
     Case(
-        name="once, too much for one target, which speaks of the caller and has not run it",
+        name="once, rejected by one target with 429, which has not run it",
         path="/once/a",
         answers=(answer_with(429, has_run=False), answer_well),
         status=200,
@@ -123,7 +123,7 @@
 
 
 def answer_in_turn(answers: list[Answer]) -> Answer:
-    """Return an answer that is each of some in turn; the last one stays."""
+    """Return a handler that uses some handlers in turn; the last one is repeated."""
 
     async def answer(request: HttpRequest, reply: Reply) -> None:
         chosen = answers.pop(0) if len(answers) > 1 else answers[0]
@@ -133,7 +133,7 @@
 
 
 class GatewayTest(unittest.IsolatedAsyncioTestCase):
-    async def open(
+    async def start_entry(
         self, *stand_ins: StandIn, document: RoutingDocument = DOCUMENT, slack: float = 20.0
     ) -> Entry:
         entry = Entry(document, slack=slack)
@@ -148,23 +148,23 @@
     async def test_each_case(self) -> None:
         for case in CASES:
             with self.subTest(case.name):
-                # Whichever target is tried first gives the first answer.
+                # Whichever target is tried first uses the first handler.
                 answers = list(case.answers)
 
                 answer = answer_in_turn(answers)
                 targets = [StandIn("t1", answer), StandIn("t2", answer)]
-                entry = await self.open(*targets)
+                entry = await self.start_entry(*targets)
                 response = await entry.call(case.path, deadline_ms=case.deadline_ms)
                 self.assertEqual(response.status, case.status)
                 self.assertTrue(response.is_whole())
                 self.assertEqual(sum(len(target.requests) for target in targets), case.sent)
-                is_ours = case.status in (502, 503, 504)
-                self.assertEqual(b"Signature" in response.data, not is_ours)
+                is_refusal = case.status in (502, 503, 504)
+                self.assertEqual(b"Signature" in response.data, not is_refusal)
                 self.assertEqual(b"Retry-After" in response.data, case.status == 503)
 
-    async def test_a_target_sees_what_the_caller_sent_and_what_is_left(self) -> None:
+    async def test_a_target_gets_the_request_of_the_caller_and_the_time_left(self) -> None:
         target = StandIn("t1", answer_well)
-        entry = await self.open(target)
+        entry = await self.start_entry(target)
         headers = "X-Own: kept\r\nDamsonlane-Organisation: forged\r\nDamsonlane-Target: forged\r\n"
         await entry.call("/once/a/b?c=d", headers=headers)
         request = target.requests[0]
@@ -175,9 +175,9 @@
         self.assertIsNone(request.find(b"authorization"))
         self.assertLessEqual(int(request.find(b"damsonlane-deadline-ms") or 0), 2000)
 
-    async def test_what_is_not_allowed_is_refused_and_goes_nowhere(self) -> None:
+    async def test_requests_that_are_not_allowed_are_refused_and_not_sent(self) -> None:
         target = StandIn("t1", answer_well)
-        entry = await self.open(target)
+        entry = await self.start_entry(target)
         cases = (("/none/a", "florists-key", 404), ("/ping/a", "other", 401), ("/ping/a", "", 401))
         for path, key, status in cases:
             with self.subTest(path=path, key=key):
@@ -185,9 +185,9 @@
         self.assertEqual(target.requests, [])
         self.assertEqual((await entry.call("/open/a", key="")).status, 200)
 
-    async def test_a_caller_that_leaves_frees_the_target(self) -> None:
+    async def test_the_target_is_released_when_the_caller_disconnects(self) -> None:
         target = StandIn("t1", hang)
-        entry = await self.open(target)
+        entry = await self.start_entry(target)
         _, writer = await entry.send("/once/a")
         async with asyncio.timeout(PATIENCE):
             while not target.requests:
@@ -197,7 +197,7 @@
             while entry.callers.in_flight():
                 await asyncio.sleep(0.01)
 
-    async def test_leaving_targets_get_nothing_new(self) -> None:
+    async def test_draining_targets_get_no_new_requests(self) -> None:
         first, second = StandIn("t1", answer_well), StandIn("t2", answer_well)
         records = [await first.start(), await second.start()]
         self.addAsyncCleanup(first.stop)
@@ -209,30 +209,30 @@
             self.assertEqual((await entry.call("/ping/a")).status, 200)
         self.assertEqual((len(first.requests), len(second.requests)), (0, 6))
 
-    async def test_repeats_stop_when_their_budget_is_spent(self) -> None:
+    async def test_retries_stop_when_their_budget_is_exhausted(self) -> None:
         targets = [StandIn("t1", cut), StandIn("t2", cut)]
-        entry = await self.open(*targets, slack=0.0)
-        # A connection that a busy machine makes late would spend the repeat unseen.
+        entry = await self.start_entry(*targets, slack=0.0)
+        # On a busy machine, a connect time-out would consume the retry without a request.
         with mock.patch.object(_attempts, "CONNECT_SECONDS", PATIENCE):
             for _ in range(10):
                 await entry.call("/ping/a")
-        # Ten first sends allow one repeat: seven tenths of a fifth of them.
+        # Ten first attempts allow one retry: seven tenths of a fifth of them.
         self.assertEqual(sum(len(target.requests) for target in targets), 11)
 
     # Event streams.
 
-    async def test_a_stream_is_passed_whole(self) -> None:
-        entry = await self.open(StandIn("t1", stream_events(1, 3)))
+    async def test_a_stream_is_forwarded_completely(self) -> None:
+        entry = await self.start_entry(StandIn("t1", stream_events(1, 3)))
         response = await entry.call("/chat/a")
         self.assertTrue(response.is_whole())
         for number in (1, 2, 3):
             self.assertEqual(response.data.count(f"token {number}".encode()), 1)
 
-    async def test_a_broken_stream_is_taken_up_where_it_broke(self) -> None:
+    async def test_a_broken_stream_is_resumed_where_it_broke(self) -> None:
         broken, whole = stream_events(1, 2, is_cut=True), stream_events(1, 5)
         answer = answer_in_turn([broken, whole])
         targets = [StandIn("t1", answer), StandIn("t2", answer)]
-        entry = await self.open(*targets)
+        entry = await self.start_entry(*targets)
         response = await entry.call("/chat/a")
         self.assertTrue(response.is_whole())
         for number in range(1, 6):
@@ -245,7 +245,7 @@
 
     async def test_a_stream_that_may_not_be_resumed_is_cut_after_its_last_whole_event(self) -> None:
         target = StandIn("t1", stream_events(1, 2, is_cut=True))
-        entry = await self.open(target)
+        entry = await self.start_entry(target)
         response = await entry.call("/draft/a")
         self.assertFalse(response.is_whole())
         self.assertIn(b"token 2", response.data)
@@ -254,54 +254,54 @@
 
     # Stages.
 
-    async def test_stages_are_made_in_order_and_their_results_given_up(self) -> None:
+    async def test_stages_run_in_order_and_their_results_are_released(self) -> None:
         desk = StandIn("t1", answer_well)
         pool = StandIn("p1", make_pieces(lambda: pool.address), "pool")
-        entry = await self.open(desk, pool)
+        entry = await self.start_entry(desk, pool)
         headers = "Damsonlane-Pieces: 2,1\r\nDamsonlane-Material-Key: m\r\n"
         response = await entry.call("/staged/a", headers=headers)
         self.assertEqual(response.status, 200)
         self.assertEqual(desk.requests[0].find(b"damsonlane-inputs"), f"{pool.address}/r1-1-0")
-        # What is given up within a few milliseconds goes in one call, so the calls differ.
+        # Results released within a few milliseconds share a call, so the number of calls varies.
         async with asyncio.timeout(PATIENCE):
-            while len(self._find_freed(pool)) < 3:
+            while len(self._find_released(pool)) < 3:
                 await asyncio.sleep(0.01)
         handles = [f"{pool.address}/r1-{name}" for name in ("0-0", "0-1", "1-0")]
-        self.assertEqual(sorted(self._find_freed(pool)), handles)
+        self.assertEqual(sorted(self._find_released(pool)), handles)
 
-    def _find_freed(self, pool: StandIn) -> list[str]:
-        """Return the handles that were given up at a pool target, as often as they were."""
+    def _find_released(self, pool: StandIn) -> list[str]:
+        """Return the handles released at a pool target, once for each release."""
         calls = [request for request in pool.requests if request.path.endswith("/free")]
         return [handle for call in calls for handle in json.loads(call.body)["handles"]]
 
-    async def test_a_broken_stream_has_its_stages_made_again_however_late(self) -> None:
+    async def test_stages_of_a_broken_stream_are_recomputed_after_the_objective(self) -> None:
         answer = answer_in_turn([stream_events(1, 2, is_cut=True), stream_events(1, 4)])
         pool = StandIn("p1", make_pieces(lambda: pool.address), "pool")
-        entry = await self.open(StandIn("t1", answer), StandIn("t2", answer), pool)
-        ordered: list[float] = []
-        place = entry.pools.order
+        entry = await self.start_entry(StandIn("t1", answer), StandIn("t2", answer), pool)
+        aim_seconds: list[float] = []
+        order_pieces = entry.pools.order
 
-        def note(
+        def record_order(
             service: str, orders: Sequence[PieceOrder], on_read: Callable[[int], None]
         ) -> "list[asyncio.Future[PieceResult]]":
-            ordered.extend(order.aim_left_seconds for order in orders)
-            return place(service, orders, on_read)
+            aim_seconds.extend(order.aim_left_seconds for order in orders)
+            return order_pieces(service, orders, on_read)
 
-        with mock.patch.object(entry.pools, "order", note):
+        with mock.patch.object(entry.pools, "order", record_order):
             headers = "Damsonlane-Pieces: 1\r\nDamsonlane-Material-Key: m\r\n"
             response = await entry.call("/staged-chat/a", headers=headers)
         self.assertTrue(response.is_whole())
         self.assertEqual(response.data.count(b"data: token"), 4)
-        # The first order keeps the aim of 0.2 s; the second has until the deadline.
-        self.assertLessEqual(ordered[0], 0.2 * (1 - LARGEST_SHARE))
-        self.assertGreater(ordered[1], 0.5)
+        # The first order has the objective of 0.2 s; the second has until the deadline.
+        self.assertLessEqual(aim_seconds[0], 0.2 * (1 - LARGEST_SHARE))
+        self.assertGreater(aim_seconds[1], 0.5)
 
-    async def test_stages_that_fail_after_a_broken_run_promise_nothing(self) -> None:
+    async def test_stages_that_fail_after_a_broken_run_give_no_guarantee(self) -> None:
         pieces = make_pieces(lambda: pool.address)
         pool_answer = answer_in_turn([pieces, answer_with(500, has_run=True)])
         pool = StandIn("p1", pool_answer, "pool")
         answer = answer_in_turn([cut, answer_with(409, has_run=False)])
-        entry = await self.open(StandIn("t1", answer), StandIn("t2", answer), pool)
+        entry = await self.start_entry(StandIn("t1", answer), StandIn("t2", answer), pool)
         headers = "Damsonlane-Pieces: 1\r\nDamsonlane-Material-Key: m\r\n"
         response = await entry.call("/staged-chat/a", headers=headers)
         self.assertEqual(response.status, 502)
@@ -310,24 +310,24 @@
     async def test_a_request_whose_stages_fail_is_refused_and_has_not_run(self) -> None:
         desk = StandIn("t1", answer_well)
         pool = StandIn("p1", answer_with(500, has_run=True), "pool")
-        entry = await self.open(desk, pool)
+        entry = await self.start_entry(desk, pool)
         headers = "Damsonlane-Pieces: 1,1\r\nDamsonlane-Material-Key: m\r\n"
         response = await entry.call("/staged/a", headers=headers, deadline_ms=700)
         self.assertEqual(response.status, 503)
         self.assertEqual(desk.requests, [])
 
     async def test_an_entry_that_control_does_not_list_owns_no_pool(self) -> None:
-        entry = await self.open(StandIn("t1", answer_well))
+        entry = await self.start_entry(StandIn("t1", answer_well))
         self.assertEqual(entry.pools.find_owner("pool"), "127.0.0.1:9")
         entry.view.put_entries((OTHER_ENTRY,))
         self.assertEqual(entry.pools.find_owner("pool"), OTHER_ENTRY.address)
         entry.view.put_entries((replace(OTHER_ENTRY, standing="leaving"),))
         self.assertEqual(entry.pools.find_owner("pool"), "127.0.0.1:9")
 
-    async def test_a_slow_pool_target_is_left_alone_while_others_work(self) -> None:
+    async def test_a_slow_pool_target_gets_no_calls_while_others_work(self) -> None:
         slow = StandIn("p1", make_pieces(lambda: slow.address, seconds=0.4), "pool")
         quick = StandIn("p2", make_pieces(lambda: quick.address), "pool")
-        entry = await self.open(StandIn("t1", answer_well), slow, quick)
+        entry = await self.start_entry(StandIn("t1", answer_well), slow, quick)
         headers = "Damsonlane-Pieces: 1,0\r\nDamsonlane-Material-Key: m\r\n"
         for _ in range(12):
             await entry.call("/staged/a", headers=headers)
@@ -337,7 +337,7 @@
     # Documents.
 
     async def test_an_older_document_never_replaces_a_newer_one(self) -> None:
-        entry = await self.open(StandIn("t1", answer_well))
+        entry = await self.start_entry(StandIn("t1", answer_well))
         newer = replace(DOCUMENT, version=5, routes=())
         for document in (newer, DOCUMENT):
             text = encode_bytes(document, RoutingDocument)
