--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_links.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_links.py
@@ -1,4 +1,4 @@
-"""Streams between boxes: following control, and ordering from the owner of a pool."""
+"""Streams between boxes: following control, and orders to the owner of a pool."""
 
 import asyncio
 import unittest
@@ -27,7 +27,7 @@
     Service,
 )
 from damsonlaned.dialects import NativeDialect
-from damsonlaned.gateway._control_follower import FleetLink
+from damsonlaned.gateway._control_follower import ControlFollower
 from damsonlaned.gateway._placer import PromptPlacers
 from damsonlaned.gateway._pool_service import PoolService
 from damsonlaned.gateway._view import FleetView
@@ -43,7 +43,7 @@
 from damsonlaned.tests.addresses import find_address
 
 
-def pack(version: int) -> PackedDocument:
+def pack_document(version: int) -> PackedDocument:
     text = encode_bytes(replace(DOCUMENT, version=version), RoutingDocument)
     return PackedDocument.pack(version, text)
 
@@ -66,8 +66,8 @@
             await asyncio.sleep(0.02)
 
 
-class Control:
-    """Stands in for a control replica that says how fresh it is and what it holds."""
+class FakeControl:
+    """A control replica with a scripted document version and state age."""
 
     def __init__(self) -> None:
         self.address = find_address()
@@ -83,12 +83,12 @@
         report = await stream.recv_message()
         assert report is not None
         self.followers += 1
-        told = report.box.version
+        sent_version = report.box.version
         try:
             while True:
                 if not self.is_silent:
-                    document = pack(self.version) if self.version > told else None
-                    told = max(told, self.version)
+                    document = pack_document(self.version) if self.version > sent_version else None
+                    sent_version = max(sent_version, self.version)
                     await stream.send_message(
                         FollowUpdate(state_age=self.state_age, document=document)
                     )
@@ -99,7 +99,7 @@
 
 class FleetLinkTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        self.first, self.second = Control(), Control()
+        self.first, self.second = FakeControl(), FakeControl()
         for control in (self.first, self.second):
             await serve(self, control.address, control.service())
         settings = BoxSettings(
@@ -113,25 +113,27 @@
             gateway=Gateway(dialect="damsonlane", apply_seconds=1.0),
         )
         self.view = FleetView(NativeDialect())
-        self.link = FleetLink(settings, Holder(box="entry-1", incarnation="i"), self.view, None)
-        self.addAsyncCleanup(self.link.stop)
+        self.follower = ControlFollower(
+            settings, Holder(box="entry-1", incarnation="i"), self.view, None
+        )
+        self.addAsyncCleanup(self.follower.stop)
 
-    async def test_it_leaves_a_replica_that_is_not_fresh(self) -> None:
+    async def test_it_leaves_a_replica_with_stale_state(self) -> None:
         self.first.state_age = None
         self.first.version = 3
         self.second.version = 2
-        self.link.start()
+        self.follower.start()
         await wait(lambda: self.second.followers == 1)
         await wait(lambda: self.view.version() == 2)
-        # The first is fresh now, and the second falls behind a cut.
+        # The first has fresh state now, and the second becomes stale.
         self.first.state_age = 0.0
         self.second.state_age = 9.0
         await wait(lambda: self.first.followers == 1)
         await wait(lambda: self.view.version() == 3)
 
-    async def test_it_leaves_a_replica_that_falls_silent(self) -> None:
+    async def test_it_leaves_a_replica_that_sends_nothing(self) -> None:
         self.first.version = self.second.version = 2
-        self.link.start()
+        self.follower.start()
         await wait(lambda: self.view.version() == 2)
         followed, other = (
             (self.first, self.second) if self.first.followers else (self.second, self.first)
@@ -140,19 +142,19 @@
         other.version = 3
         await wait(lambda: self.view.version() == 3)
 
-    async def test_a_starting_entry_takes_nothing_from_a_stale_replica(self) -> None:
+    async def test_a_starting_entry_accepts_no_stale_state(self) -> None:
         for control in (self.first, self.second):
             control.version = 2
             control.state_age = 5.0
-        self.link.start()
+        self.follower.start()
         await asyncio.sleep(0.6)
         self.assertIsNone(self.view.table)
         self.second.state_age = 0.0
         await wait(lambda: self.view.version() == 2)
 
-    async def test_a_version_never_goes_back(self) -> None:
+    async def test_an_older_version_is_ignored(self) -> None:
         self.first.version = self.second.version = 5
-        self.link.start()
+        self.follower.start()
         await wait(lambda: self.view.version() == 5)
         self.first.version = self.second.version = 4
         self.first.is_silent = self.second.is_silent = True
@@ -208,7 +210,7 @@
         orders = [replace(ORDER, piece=piece) for piece in range(count)]
         return list(self.orderer.pools.order("pool", orders))  # type: ignore[arg-type]
 
-    async def test_pieces_of_another_entry_are_made_by_the_owner(self) -> None:
+    async def test_the_owner_computes_pieces_of_another_entry(self) -> None:
         service = PoolService(
             self.owner.owners, PromptPlacers(self.owner.view), self.owner.view.limits
         )
@@ -217,14 +219,14 @@
         async with asyncio.timeout(PATIENCE):
             results = await asyncio.gather(*self.order(6))
         self.assertEqual(len({result.handle for result in results}), 6)  # type: ignore[attr-defined]
-        # A call takes four pieces, so six of them take two calls and not six.
+        # A call has up to four pieces, so six pieces need two calls.
         self.assertEqual(len(self.pool.requests), 2)
 
     def has_metric(self, line: str) -> bool:
         self.orderer.owners.count_waiting()
         return line in self.orderer.metrics.render().decode().splitlines()
 
-    async def test_an_owner_counts_what_becomes_of_pieces(self) -> None:
+    async def test_an_owner_counts_the_outcomes_of_pieces(self) -> None:
         self.orderer.view.put_entries(())
         late = replace(ORDER, request="r2", left_seconds=0.0)
         async with asyncio.timeout(PATIENCE):
@@ -238,14 +240,14 @@
             with self.subTest(line):
                 await wait(partial(self.has_metric, line))
 
-    async def test_an_owner_that_is_gone_costs_a_second_order(self) -> None:
+    async def test_pieces_are_ordered_again_if_their_owner_is_unreachable(self) -> None:
         self.orderer.view.put_entries((make_record(self.address), make_record("127.0.0.1:9")))
         with mock.patch.object(self.orderer.pools, "find_owner", self._find_gone_owner_first()):
             async with asyncio.timeout(PATIENCE):
                 results = await asyncio.gather(*self.order(2))
         self.assertTrue(all(result.handle for result in results))  # type: ignore[attr-defined]
 
-    async def test_an_owner_that_falls_silent_is_left(self) -> None:
+    async def test_pieces_are_ordered_again_if_their_owner_does_not_respond(self) -> None:
         async def swallow(stream: Stream[PoolOrders, PoolResults]) -> None:
             async for _ in stream:
                 pass
@@ -257,13 +259,13 @@
                 results = await asyncio.gather(*self.order(2))
         self.assertTrue(all(result.handle for result in results))  # type: ignore[attr-defined]
 
-    async def test_an_owner_that_has_started_again_is_not_passed_over(self) -> None:
+    async def test_a_restarted_owner_is_used_again(self) -> None:
         other = make_record("127.0.0.1:9")
         first = make_record(self.address)
         cases = (
-            ("it is listed still", (first, other), (first, other), "127.0.0.1:9"),
-            ("it started again", (first, other), (replace(first, incarnation="j"), other), None),
-            ("it had left the list", (other,), (replace(first, incarnation="j"), other), None),
+            ("it is still listed", (first, other), (first, other), "127.0.0.1:9"),
+            ("it restarted", (first, other), (replace(first, incarnation="j"), other), None),
+            ("it was listed again", (other,), (replace(first, incarnation="j"), other), None),
         )
         for name, before, after, owner in cases:
             with self.subTest(name):
@@ -279,7 +281,7 @@
     def _weigh_owner_most(self, _service: str, address: str) -> bytes:
         return b"1" if address == self.address else b"0"
 
-    async def test_an_owner_that_is_one_no_more_hands_over_what_waits(self) -> None:
+    async def test_an_entry_that_stops_being_owner_hands_over_its_queue(self) -> None:
         service = PoolService(
             self.owner.owners, PromptPlacers(self.owner.view), self.owner.view.limits
         )
@@ -287,7 +289,7 @@
         self.owner.view.put_entries((make_record(self.address),))
         self.orderer.view.put_entries((make_record(self.address),))
         self.pool._answer = make_pieces(lambda: self.pool.address, seconds=0.3)
-        # The target takes four pieces in a call, so eight of them wait at the owner.
+        # A call has up to four pieces, so eight of them are queued at the owner.
         futures = self.order(12)
         await wait(lambda: len(self.pool.requests) == 1)
         # The orderer itself owns the pool now.
@@ -298,7 +300,7 @@
                 results = await asyncio.gather(*futures)
         self.assertEqual(len({result.handle for result in results}), 12)  # type: ignore[attr-defined]
 
-    async def test_what_is_late_is_told_while_every_target_is_at_work(self) -> None:
+    async def test_a_late_piece_is_answered_while_all_targets_are_busy(self) -> None:
         self.pool._answer = hang
         self.orderer.view.put_entries(())
         self.order(4)
@@ -308,11 +310,11 @@
         async with asyncio.timeout(PATIENCE):
             result = await waiting[0]
         self.assertEqual(result.fault, "late")
-        # The call of the others is still under way.
+        # The call of the other pieces is still in progress.
         self.assertFalse(self.pool.gone.is_set())
 
-    async def test_a_changed_list_makes_an_owner_hand_over(self) -> None:
-        cases = (("another one owns it", "127.0.0.1:7", 1), ("it owns it still", "", 0))
+    async def test_an_owner_hands_over_if_the_list_names_another_one(self) -> None:
+        cases = (("another owner", "127.0.0.1:7", 1), ("same owner", "", 0))
         for name, owner, expected in cases:
             with self.subTest(name):
                 pools = self.orderer.pools
@@ -322,7 +324,7 @@
                 self.orderer.view.put_entries((make_record(address),))
                 self.assertEqual(handed_over.call_count, expected)
 
-    async def test_a_withdrawn_piece_is_not_made(self) -> None:
+    async def test_a_cancelled_piece_is_not_computed(self) -> None:
         self.orderer.view.put_entries(())
         futures = self.order(1)
         busy = self.order(1)
@@ -334,7 +336,7 @@
         self.assertEqual(len(self.pool.requests), 1)
 
     def _find_gone_owner_first(self) -> Callable[[str], str]:
-        """Return a choice of owners that takes the one under test until it is suspected."""
+        """Return a choice of owners that returns the one under test until it is suspected."""
 
         def find(service: str) -> str:
             is_suspect = self.address in self.orderer.pools._choice._suspects
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_quarantine.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Requests that end targets, at entries that share one control."""
+"""Requests under which targets exit, at entries that share one control."""
 
 import asyncio
 import json
@@ -29,8 +29,8 @@
 from damsonlaned.http import HttpRequest, Reply
 from damsonlaned.quarantine import LostTarget
 
-#: What no target survives.
-DEADLY = "/once/deadly"
+#: Path of requests under which every target exits.
+DEADLY_PATH = "/once/deadly"
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
@@ -40,20 +40,20 @@
 
 
 class Fleet:
-    """Two entries with one control, and targets that end and start again."""
+    """Two entries with one control, and targets that exit and are replaced."""
 
-    def __init__(self, others: Answer = answer_well) -> None:
+    def __init__(self, default_answer: Answer = answer_well) -> None:
         self.control = Control()
         self.entries = [Entry(control=self.control) for _ in range(2)]
         self.targets: dict[str, StandIn] = {}
         self.records: dict[str, TargetRecord] = {}
-        #: Targets that ended.
-        self.ended: list[str] = []
-        #: Whether a request ends its target.
+        #: Targets that exited.
+        self.exited: list[str] = []
+        #: Returns whether a target exits under a request.
         self.is_deadly: Callable[[HttpRequest], bool] = lambda request: "deadly" in request.path
-        #: Events of a stream that are sent before its target ends.
+        #: Number of events that a stream sends before its target exits.
         self.events = 0
-        self._others = others
+        self._default_answer = default_answer
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self, count: int = 4, service: str = "desk") -> None:
@@ -74,112 +74,114 @@
 
         async def answer(request: HttpRequest, reply: Reply) -> None:
             if not self.is_deadly(request):
-                await self._others(request, reply)
+                await self._default_answer(request, reply)
                 return
             if self.events:
                 with mock.patch.object(reply, "finish"):
                     await stream_events(1, self.events)(request, reply)
-            self._end(name)
+            self._exit(name)
             await hang(request, reply)
 
         self.targets[name] = StandIn(name, answer, service)
         self.records[name] = await self.targets[name].start()
 
-    def _end(self, name: str) -> None:
-        if name not in self.ended:
-            self.ended.append(name)
+    def _exit(self, name: str) -> None:
+        if name not in self.exited:
+            self.exited.append(name)
             task = asyncio.get_running_loop().create_task(self.targets[name].stop())
             self._tasks.add(task)
 
-    async def replace_ended(self) -> None:
-        """Start new targets for those that ended, and have all entries know."""
-        for name in self.ended:
+    async def replace_exited(self) -> None:
+        """Start new targets for those that exited, and list them to all entries."""
+        for name in self.exited:
             if self.records.pop(name, None) is not None:
                 await self.add(self.targets[name].service)
         for entry in self.entries:
             entry.put_targets(*self.records.values())
 
-    async def send(self, number: int, path: str = DEADLY, headers: str = "") -> Response:
+    async def send(self, number: int, path: str = DEADLY_PATH, headers: str = "") -> Response:
         response = await self.entries[number % 2].call(path, headers=headers)
-        await self.replace_ended()
+        await self.replace_exited()
         return response
 
-    async def end_three(self) -> None:
+    async def exit_until_quarantined(self) -> None:
         for number in range(ENDS_TO_HOLD):
             await self.send(number)
 
 
-class HeldRequestTest(unittest.IsolatedAsyncioTestCase):
+class QuarantinedRequestTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.fleet = Fleet()
         await self.fleet.start()
         self.addAsyncCleanup(self.fleet.stop)
 
-    async def test_a_caller_that_returns_at_any_entry_ends_three_targets_and_no_more(self) -> None:
+    async def test_a_caller_that_retries_at_any_entry_costs_three_targets_and_no_more(self) -> None:
         responses = [await self.fleet.send(number) for number in range(8)]
-        self.assertEqual(len(self.fleet.ended), ENDS_TO_HOLD)
+        self.assertEqual(len(self.fleet.exited), ENDS_TO_HOLD)
         self.assertEqual([response.status for response in responses], [502] * 3 + [503] * 5)
         for response in responses[ENDS_TO_HOLD:]:
             self.assertIn(b"retry-after", response.data.lower())
 
-    async def test_tries_of_one_request_at_two_targets_each_count(self) -> None:
+    async def test_attempts_of_one_request_at_two_targets_each_count(self) -> None:
         for number in range(4):
             await self.fleet.send(number, "/ping/deadly")
-        self.assertEqual(len(self.fleet.ended), ENDS_TO_HOLD)
+        self.assertEqual(len(self.fleet.exited), ENDS_TO_HOLD)
 
     async def test_other_requests_of_that_caller_and_path_are_served(self) -> None:
-        await self.fleet.end_three()
+        await self.fleet.exit_until_quarantined()
         for number, headers in enumerate(("Content-Length: 0\r\n", "")):
             self.assertEqual((await self.fleet.send(number, "/once/a", headers)).status, 200)
         query = await self.fleet.send(0, "/once/a?about=deadly")
         self.assertEqual(query.status, 200)
 
-    async def test_one_that_waits_when_it_becomes_known_is_told_at_once(self) -> None:
-        """It waits for an answer at another target, which drops it and lives."""
+    async def test_a_request_in_progress_is_refused_when_it_is_quarantined(self) -> None:
+        """Its target drops it and does not exit."""
         await self.fleet.send(0)
         await self.fleet.send(1)
         self.fleet.is_deadly = lambda request: False
-        self.fleet._others = hang
-        waiting = asyncio.ensure_future(self.fleet.entries[0].call(DEADLY))
+        self.fleet._default_answer = hang
+        waiting = asyncio.ensure_future(self.fleet.entries[0].call(DEADLY_PATH))
         await wait_until(lambda: any(self._is_at_target(name) for name in self.fleet.records))
         self.fleet.is_deadly = lambda request: True
         await self.fleet.send(1)
         response = await waiting
         self.assertEqual(response.status, 502)
-        self.assertEqual(len(self.fleet.ended), ENDS_TO_HOLD)
+        self.assertEqual(len(self.fleet.exited), ENDS_TO_HOLD)
 
     def _is_at_target(self, name: str) -> bool:
         return bool(self.fleet.targets[name].requests)
 
-    async def test_a_stream_is_not_taken_up_where_it_would_end_one_more(self) -> None:
+    async def test_a_quarantined_stream_is_not_resumed(self) -> None:
         self.fleet.events = 2
         responses = [await self.fleet.send(number, "/chat/deadly") for number in range(6)]
-        self.assertEqual(len(self.fleet.ended), ENDS_TO_HOLD)
+        self.assertEqual(len(self.fleet.exited), ENDS_TO_HOLD)
         self.assertFalse(responses[1].is_whole())
         self.assertEqual({response.status for response in responses[2:]}, {503})
 
-    async def test_while_control_cannot_be_reached_an_entry_counts_by_itself(self) -> None:
+    async def test_an_entry_counts_exits_itself_while_control_is_unreachable(self) -> None:
         self.fleet.control.is_reachable = False
         for _ in range(6):
             await self.fleet.send(0)
-        self.assertEqual(len(self.fleet.ended), ENDS_TO_HOLD)
+        self.assertEqual(len(self.fleet.exited), ENDS_TO_HOLD)
         self.fleet.control.is_reachable = True
         await wait_until(lambda: bool(self.fleet.entries[1].view.quarantine.newest.held))
         self.assertEqual((await self.fleet.send(1)).status, 503)
 
-    async def test_what_control_released_is_not_held_by_an_entry_that_saw_it(self) -> None:
+    async def test_a_released_request_is_not_quarantined_by_an_entry_that_saw_its_exits(
+        self,
+    ) -> None:
         for _ in range(ENDS_TO_HOLD):
             await self.fleet.send(0)
-        held = self.fleet.control.state.quarantine.list_for_entries().held
-        release = ReleaseRequest(fingerprint=held[0].fingerprint, operator="o", at=0.0)
+        quarantined = self.fleet.control.state.quarantine.list_for_entries().held
+        release = ReleaseRequest(fingerprint=quarantined[0].fingerprint, operator="o", at=0.0)
         self.fleet.control.release(release)
         self.fleet.control.is_reachable = False
         await self.fleet.send(0, "/once/another-deadly")
-        ended = len(self.fleet.ended)
+        exited = len(self.fleet.exited)
         await self.fleet.send(0)
-        self.assertEqual(len(self.fleet.ended), ended + 1)
+        self.assertEqual(len(self.fleet.exited), exited + 1)
 
-    async def test_a_request_that_is_served_after_all_is_not_held(self) -> None:
+    async def test_a_request_that_was_served_is_not_quarantined(self) -> None:
         await self.fleet.send(0)
         await self.fleet.send(1)
         self.fleet.is_deadly = lambda request: False
@@ -187,13 +189,11 @@
         self.fleet.is_deadly = lambda request: True
         for number in range(3):
             await self.fleet.send(number)
-        # The entry that served it says so for a minute, so only word of the other one counts.
-        held = self.fleet.control.state.quarantine.list_for_entries().held
-        self.assertEqual(held, ())
+        # The entry that served it vouches for it for a minute, so only exits at the other count.
+        quarantined = self.fleet.control.state.quarantine.list_for_entries().held
+        self.assertEqual(quarantined, ())
 
-    async def test_the_loss_of_many_targets_holds_nothing_that_was_served_before(
-        self,
-    ) -> None:
+    async def test_the_loss_of_many_targets_does_not_quarantine_a_served_request(self) -> None:
         entry = self.fleet.entries[0]
         self.assertEqual((await self.fleet.send(0, "/once/a")).status, 200)
         served = next(iter(entry.quarantine._served._served_at))
@@ -203,25 +203,25 @@
         await asyncio.sleep(0)
         self.assertEqual(self.fleet.control.state.quarantine.snapshot().ends, ())
 
-    async def test_a_target_that_only_breaks_connections_is_word_against_nobody(self) -> None:
+    async def test_broken_connections_alone_count_against_no_request(self) -> None:
         async def cut(request: HttpRequest, reply: Reply) -> None:
             reply.cut()
 
-        self.fleet._others = cut
+        self.fleet._default_answer = cut
         for number in range(8):
             await self.fleet.send(number, "/once/a")
-        self.fleet._others = answer_well
+        self.fleet._default_answer = answer_well
         self.assertEqual((await self.fleet.send(0, "/once/a")).status, 200)
 
-    async def test_an_older_list_changes_nothing(self) -> None:
+    async def test_an_older_list_is_ignored(self) -> None:
         view = self.fleet.entries[0].view
         older = view.quarantine.newest
-        await self.fleet.end_three()
+        await self.fleet.exit_until_quarantined()
         view.quarantine.put(older)
         self.assertEqual((await self.fleet.send(0)).status, 503)
 
 
-class HeldPieceTest(unittest.IsolatedAsyncioTestCase):
+class QuarantinedPieceTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.fleet = Fleet(make_pieces(lambda: "127.0.0.1:1"))
         self.fleet.is_deadly = self._has_deadly_piece
@@ -229,7 +229,7 @@
         desk = StandIn("desk-1", answer_well)
         self.fleet.targets["desk-1"] = desk
         self.fleet.records["desk-1"] = await desk.start()
-        await self.fleet.replace_ended()
+        await self.fleet.replace_exited()
         self.addAsyncCleanup(self.fleet.stop)
 
     def _has_deadly_piece(self, request: HttpRequest) -> bool:
@@ -243,21 +243,21 @@
         headers = f"Damsonlane-Pieces: 1,0\r\nDamsonlane-Material-Key: {key}\r\n"
         return (await self.fleet.send(number, f"/staged/{key}", headers)).status
 
-    async def test_pieces_of_a_request_end_three_targets_and_no_more(self) -> None:
+    async def test_pieces_of_a_request_cost_three_targets_and_no_more(self) -> None:
         statuses = [await self._send(number, "deadly") for number in range(6)]
-        self.assertEqual(len(self.fleet.ended), ENDS_TO_HOLD)
+        self.assertEqual(len(self.fleet.exited), ENDS_TO_HOLD)
         self.assertEqual(statuses, [503] * 6)
         self.assertEqual(await self._send(0, "other"), 200)
 
-    async def test_what_came_in_the_same_calls_is_served_in_the_end(self) -> None:
+    async def test_pieces_in_the_same_calls_are_served_eventually(self) -> None:
         for number in range(ENDS_TO_HOLD_ALIKE):
-            mate = asyncio.ensure_future(self._send(0, "mate"))
-            await asyncio.gather(self._send(number, "deadly"), mate)
-        self.assertLessEqual(len(self.fleet.ended), ENDS_TO_HOLD_ALIKE)
+            same_call = asyncio.ensure_future(self._send(0, "mate"))
+            await asyncio.gather(self._send(number, "deadly"), same_call)
+        self.assertLessEqual(len(self.fleet.exited), ENDS_TO_HOLD_ALIKE)
         self.assertEqual(await self._send(0, "mate"), 200)
         self.assertEqual(await self._send(0, "deadly"), 503)
 
-    async def test_an_owner_takes_no_pieces_of_a_held_request(self) -> None:
+    async def test_an_owner_accepts_no_pieces_of_a_quarantined_request(self) -> None:
         for number in range(4):
             await self._send(number, "deadly")
         owner: PoolOwner = self.fleet.entries[0].owners.get("pool")
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_request_times.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_request_times.py
@@ -1,4 +1,4 @@
-"""Times of a request, with a clock that the test moves."""
+"""Times of a request, with a clock that the test sets."""
 
 import asyncio
 import unittest
@@ -20,7 +20,7 @@
                 for moment in moments:
                     loop = asyncio.get_running_loop()
                     with mock.patch.object(loop, "time", return_value=moment):
-                        times.note_event()
+                        times.record_event()
                 self.assertEqual(times.log_fields()["longest_pause_seconds"], expected)
 
 
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_start.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_start.py
@@ -1,16 +1,16 @@
-"""Requests at an entry that has just started, or is about to end."""
+"""Requests at an entry that has just started, or is stopping."""
 
 import asyncio
 import unittest
 from unittest import mock
 
 from damsonlaned.gateway import _caller_service
-from damsonlaned.gateway._caller_service import START_RETRY_SECONDS, USUAL_START_SECONDS
+from damsonlaned.gateway._caller_service import EXPECTED_START_SECONDS, START_RETRY_SECONDS
 from damsonlaned.gateway.tests.harness import PATIENCE, Entry, StandIn, answer_well
 
 
 class StartTest(unittest.IsolatedAsyncioTestCase):
-    async def test_an_entry_that_knows_no_routes_refuses(self) -> None:
+    async def test_an_entry_without_routes_refuses(self) -> None:
         entry = Entry()
         await entry._listener.start()
         self.addAsyncCleanup(entry.stop)
@@ -18,25 +18,25 @@
         self.assertEqual(response.status, 503)
         self.assertIn(b"Retry-After", response.data)
 
-    async def test_an_entry_that_starts_says_when_it_will_know_its_routes(self) -> None:
+    async def test_retry_after_covers_the_expected_start_of_an_entry(self) -> None:
         entry = Entry()
         await entry._listener.start()
         self.addAsyncCleanup(entry.stop)
         now = asyncio.get_running_loop().time()
         for age, least, most in (
             # Started in the future, so that a slow machine changes nothing.
-            (-60.0, 30.0, 60.0 + USUAL_START_SECONDS),
-            (USUAL_START_SECONDS, START_RETRY_SECONDS, START_RETRY_SECONDS),
+            (-60.0, 30.0, 60.0 + EXPECTED_START_SECONDS),
+            (EXPECTED_START_SECONDS, START_RETRY_SECONDS, START_RETRY_SECONDS),
             (60.0, START_RETRY_SECONDS, START_RETRY_SECONDS),
         ):
             with self.subTest(age=age):
                 entry.callers._started_at = now - age  # type: ignore[misc]
                 response = await entry.call("/ping/a")
-                told = response.data.partition(b"Retry-After: ")[2].partition(b"\r\n")[0]
-                self.assertGreaterEqual(float(told), least)
-                self.assertLessEqual(float(told), most)
+                retry_after = response.data.partition(b"Retry-After: ")[2].partition(b"\r\n")[0]
+                self.assertGreaterEqual(float(retry_after), least)
+                self.assertLessEqual(float(retry_after), most)
 
-    async def test_a_request_waits_for_an_entry_that_is_about_to_know_its_routes(self) -> None:
+    async def test_a_request_waits_for_the_routes_of_a_starting_entry(self) -> None:
         entry = Entry()
         target = StandIn("t1", answer_well)
         record = await target.start()
@@ -53,8 +53,8 @@
             entry.put_document()
             self.assertEqual((await waiting).status, 200)
 
-    async def test_nothing_reaches_a_target_for_a_caller_that_left_before(self) -> None:
-        """It left while its request waited for the routes of an entry that starts."""
+    async def test_a_request_is_not_sent_if_its_caller_disconnected_before(self) -> None:
+        """The caller disconnects while its request waits for the routes of a starting entry."""
         target = StandIn("t1", answer_well)
         record = await target.start()
         self.addAsyncCleanup(target.stop)
@@ -76,7 +76,7 @@
             self.assertEqual((await entry.call("/ping/b")).status, 200)
         self.assertEqual([request.path for request in target.requests], ["/ping/b"])
 
-    async def test_an_entry_about_to_end_takes_nothing_that_it_could_not_finish(self) -> None:
+    async def test_a_stopping_entry_refuses_requests_that_it_could_not_complete(self) -> None:
         target = StandIn("t1", answer_well)
         record = await target.start()
         self.addAsyncCleanup(target.stop)
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_view.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_view.py
@@ -1,4 +1,4 @@
-"""What an entry logs of the targets that it is told of."""
+"""Log lines about changes of targets."""
 
 import unittest
 from dataclasses import replace
@@ -6,7 +6,7 @@
 
 from damsonlane.targets import TargetChanges, TargetRecord
 from damsonlaned.dialects import NativeDialect
-from damsonlaned.gateway._view import MOST_LINES, FleetView
+from damsonlaned.gateway._view import MAX_LOGGED_TARGETS, FleetView
 
 _RECORD = TargetRecord(
     target="t0",
@@ -32,21 +32,21 @@
             view.put_targets(replace(changes, gone=("nobody",)))
         return [record.getMessage() for record in logs.records][:-1]
 
-    def test_a_line_each_or_one_for_a_long_list(self) -> None:
+    def test_short_lists_are_logged_by_target_and_long_ones_in_one_line(self) -> None:
         cases = (
-            ("a few", _make(3), ["target known"] * 3),
-            ("many", _make(MOST_LINES + 1), ["targets known"]),
+            ("a few", _make(3), ["target updated"] * 3),
+            ("many", _make(MAX_LOGGED_TARGETS + 1), ["targets updated"]),
         )
         for name, records, expected in cases:
             with self.subTest(name):
                 self.assertEqual(self.log(FleetView(NativeDialect()), 1, records), expected)
 
-    def test_only_what_is_new_is_logged(self) -> None:
+    def test_only_changes_are_logged(self) -> None:
         view = FleetView(NativeDialect())
         self.log(view, 1, _make(3))
         self.assertEqual(self.log(view, 2, _make(3)), [])
-        self.assertEqual(self.log(view, 3, _make(4)), ["target known"])
-        self.assertEqual(self.log(view, 4, _make(4, "leaving")), ["target known"] * 4)
+        self.assertEqual(self.log(view, 3, _make(4)), ["target updated"])
+        self.assertEqual(self.log(view, 4, _make(4, "leaving")), ["target updated"] * 4)
 
 
 if __name__ == "__main__":
