--- a/packages/damsonlane/src/damsonlane/pools/__init__.py
+++ b/packages/damsonlane/src/damsonlane/pools/__init__.py
@@ -1,12 +1,12 @@
 """Stage pools: pieces of work, the order in which they run, and the room for results."""
 
-from damsonlane.pools._claims import RANKS_OF_ROUTES
 from damsonlane.pools._pieces import PieceFault, PieceOrder, PieceResult
 from damsonlane.pools._plan import StagePlan, StageStart
+from damsonlane.pools._priorities import RANKS_OF_ROUTES
 from damsonlane.pools._queue import PieceQueue, Selection
 from damsonlane.pools._room import ResultRoom
+from damsonlane.pools._throughput import YieldedWork
 from damsonlane.pools._waiting import Offer, WaitingPiece
-from damsonlane.pools._yielded import YieldedWork
 
 __all__ = [
     "RANKS_OF_ROUTES",
--- a/packages/damsonlane/src/damsonlane/pools/_queue.py
+++ b/packages/damsonlane/src/damsonlane/pools/_queue.py
@@ -5,10 +5,10 @@
 from typing import Final
 
 from damsonlane.pools._batch import fill_batch
-from damsonlane.pools._claims import Claims
 from damsonlane.pools._pieces import PieceOrder
+from damsonlane.pools._priorities import Claims
+from damsonlane.pools._recent_work import TakenWork
 from damsonlane.pools._schedule import Schedule, WaitingStage, group_stages
-from damsonlane.pools._taken import TakenWork
 from damsonlane.pools._waiting import Offer, WaitingPiece
 
 #: Largest share of a pool that is reckoned to go on going to pieces with an earlier claim:
--- a/packages/damsonlane/src/damsonlane/pools/tests/test_replay.py
+++ b/packages/damsonlane/src/damsonlane/pools/tests/test_load_patterns.py
@@ -5,7 +5,7 @@
 from unittest import mock
 
 from damsonlane.pools import _batch
-from damsonlane.pools.tests.replay import Kind, Loss, Outcome, Pattern, Pool, Wave, play
+from damsonlane.pools.tests.simulation import Kind, Loss, Outcome, Pattern, Pool, Wave, play
 
 #: Plays of each pattern; a share of them moves by about 0.02 between two halves of these.
 SEEDS = 12
--- a/packages/damsonlane/src/damsonlane/pools/tests/test_claims.py
+++ b/packages/damsonlane/src/damsonlane/pools/tests/test_priorities.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from damsonlane.pools._claims import MEMORY_SECONDS, STEP_SHARE, Claims
+from damsonlane.pools._priorities import MEMORY_SECONDS, STEP_SHARE, Claims
 
 
 def order(claims: Claims, *ranks: int) -> list[int]:
--- a/packages/damsonlane/src/damsonlane/pools/tests/test_room.py
+++ b/packages/damsonlane/src/damsonlane/pools/tests/test_result_memory.py
@@ -4,7 +4,7 @@
 
 from damsonlane.pools import ResultRoom, YieldedWork
 from damsonlane.pools._room import UNKNOWN_SECONDS
-from damsonlane.pools._yielded import SHARE_RANGE
+from damsonlane.pools._throughput import SHARE_RANGE
 
 
 class ResultRoomTest(unittest.TestCase):
