--- a/packages/damsonlane/src/damsonlane/pools/__init__.py
+++ b/packages/damsonlane/src/damsonlane/pools/__init__.py
@@ -1,4 +1,4 @@
-"""Stage pools: pieces of work, the order in which they run, and the room for results."""
+"""Stage pools: pieces of work, their scheduling, and the result memory of targets."""
 
 from damsonlane.pools._pieces import PieceFault, PieceOrder, PieceResult
 from damsonlane.pools._plan import StagePlan, StageStart
--- a/packages/damsonlane/src/damsonlane/pools/_batch.py
+++ b/packages/damsonlane/src/damsonlane/pools/_batch.py
@@ -1,108 +1,104 @@
-"""Choosing the pieces of one call from those that wait."""
+"""Selects the pieces of one call from the queue."""
 
 from typing import Final
 
 from damsonlane.pools._waiting import Offer, WaitingPiece
 
-#: Full calls that a piece must still have time for after the wait, so that it waits for
-#: a target beside its inputs rather than have them sent to another data centre.
+#: Time that a piece must have left after waiting for a target in the data centre of its
+#: inputs, in full calls; with less it runs elsewhere and its inputs are transferred.
 CALLS_AFTER_WAIT: Final = 1.2
-#: Longest wait for such a target, in seconds: a call or two, as long as the request keeps
-#: its aim.  With 0.2 s pieces left their inputs whenever a full call had just begun beside
-#: them.  Results sent to other data centres cost 0.021 of a day's worth instead of 0.027, and
-#: the day gains 0.024 in all (mean of fifteen pairs of days, standard error 0.008).
+#: Longest wait for such a target, in seconds.  A wait shorter than one full call would send
+#: pieces away from their inputs whenever a call had just begun there.
 HOME_WAIT_SECONDS: Final = 0.6
-#: Share by which results may be larger than told, reckoned for pieces with inputs:
-#: refused for want of room, they may find their inputs given up.  One in six was
-#: refused where calls filled the room to a tenth.
+#: Relative margin added to the announced result size of pieces with inputs.  If the target
+#: rejects such a piece for lack of result memory, its inputs may be evicted before a retry.
 SIZE_MARGIN: Final = 0.08
-#: Full calls that a stage must still have time for, so that its pieces wait for
-#: a call that takes them all.
-CALLS_TO_WAIT_FOR_ROOM: Final = 2.0
+#: Time that a stage must have left, in full calls, to wait for a call that takes all its pieces.
+CALLS_TO_WAIT_FOR_WHOLE_STAGE: Final = 2.0
 
 
 def fill_batch(ordered: list[WaitingPiece], now: float, offer: Offer) -> list[WaitingPiece]:
-    """Return the pieces of one call, within its size and the room for its results.
+    """Return the pieces of one call, within its batch size and the free result memory.
 
     Args:
         ordered: the pieces that may run, most urgent first.
-        now: the time by the monotonic clock.
+        now: the monotonic clock, in seconds.
         offer: the target that takes the call.
     """
     fitting = [piece for piece in ordered if _may_run_at(piece, now, offer)]
-    groups = _group(_put_near_first(fitting, offer))
+    groups = _group(_prefer_local(fitting, offer))
     batch = _take_groups(groups, now, offer)
     if not batch and groups:
-        # A part of the most urgent stage is better than a target that stands idle.
+        # Running a part of the most urgent stage is better than leaving the target idle.
         return _take(groups[0], offer.batch, offer.room)
     return batch
 
 
 def _take_groups(groups: list[list[WaitingPiece]], now: float, offer: Offer) -> list[WaitingPiece]:
-    """Return the pieces of all groups that fit whole, and parts of those that may be split.
+    """Return the pieces of all groups that fit completely, and parts of those that may be split.
 
-    The pieces of one stage of a request go together: made by different calls,
-    the first ones would take room at their makers until the last is made.
+    The pieces of one stage of a request run in one call if possible: split over several calls,
+    the first results would occupy result memory until the last piece is computed.
     """
     batch: list[WaitingPiece] = []
-    room = float(offer.room)
+    memory_bytes = float(offer.room)
     for group in groups:
-        taken = _take(group, offer.batch - len(batch), room)
+        taken = _take(group, offer.batch - len(batch), memory_bytes)
         if len(taken) < len(group) and not _may_split(group, now, offer):
             continue
-        room -= sum(map(_reckon_size, taken))
+        memory_bytes -= sum(map(_estimate_size, taken))
         batch.extend(taken)
     return batch
 
 
-def _put_near_first(pieces: list[WaitingPiece], offer: Offer) -> list[WaitingPiece]:
-    """Return pieces with those first, of as many as run at once, that belong to this data centre.
+def _prefer_local(pieces: list[WaitingPiece], offer: Offer) -> list[WaitingPiece]:
+    """Return pieces reordered so that pieces for this data centre come first.
 
-    Whatever runs at once begins at about the same time, so the order among
-    them decides only where each one runs.
+    Only pieces that run at the same time change places: their order decides where each one
+    runs, not when.
     """
     at_once = offer.pieces_at_once
-    ranked = sorted(
+    indexed = sorted(
         enumerate(pieces),
         key=lambda item: (item[0] // at_once, item[1].order.home != offer.data_centre),
     )
-    return [piece for _, piece in ranked]
+    return [piece for _, piece in indexed]
 
 
 def _group(pieces: list[WaitingPiece]) -> list[list[WaitingPiece]]:
-    """Return pieces by stage and request, each group at the place of its first piece."""
+    """Return pieces grouped by stage and request, in the order of each group's first piece."""
     groups: dict[tuple[str, str, int], list[WaitingPiece]] = {}
     for piece in pieces:
         groups.setdefault(piece.group, []).append(piece)
     return list(groups.values())
 
 
-def _take(group: list[WaitingPiece], most: int, room: float) -> list[WaitingPiece]:
-    """Return the first pieces of a group that fit a number and a room."""
+def _take(group: list[WaitingPiece], limit: int, memory_bytes: float) -> list[WaitingPiece]:
+    """Return the leading pieces of a group, up to a number and a sum of result sizes."""
     taken: list[WaitingPiece] = []
-    for piece in group[:most]:
-        room -= _reckon_size(piece)
-        if room < 0:
+    for piece in group[:limit]:
+        memory_bytes -= _estimate_size(piece)
+        if memory_bytes < 0:
             break
         taken.append(piece)
     return taken
 
 
-def _reckon_size(piece: WaitingPiece) -> float:
-    """Return the room to reckon for the result of a piece."""
+def _estimate_size(piece: WaitingPiece) -> float:
+    """Return the result memory to allow for the result of a piece, in bytes."""
     size = piece.order.result_bytes
     return size * (1.0 + SIZE_MARGIN) if piece.order.inputs else size
 
 
 def _may_split(group: list[WaitingPiece], now: float, offer: Offer) -> bool:
-    """Tell whether a group may run in several calls: if it must, or has no time to wait."""
+    """Return whether a group may run in several calls: it exceeds one call, or cannot wait."""
     is_too_large = len(group) > offer.batch
-    is_short_of_time = group[0].aim_at < now + CALLS_TO_WAIT_FOR_ROOM * offer.full_seconds
+    is_short_of_time = group[0].aim_at < now + CALLS_TO_WAIT_FOR_WHOLE_STAGE * offer.full_seconds
     return is_too_large or is_short_of_time
 
 
 def _may_run_at(piece: WaitingPiece, now: float, offer: Offer) -> bool:
-    """Tell whether a piece may run away from its inputs: only where waiting would cost more."""
+    """Return whether a piece may run here rather than wait for a target in its home data centre."""
     home = piece.order.home
     if home in ("", offer.data_centre) or home not in offer.free_in:
         return True
--- a/packages/damsonlane/src/damsonlane/pools/_pieces.py
+++ b/packages/damsonlane/src/damsonlane/pools/_pieces.py
@@ -1,10 +1,10 @@
-"""Pieces of stages as one box orders them from another."""
+"""Messages by which one box orders pieces of stages from another."""
 
 from dataclasses import dataclass
 from typing import Literal
 
-#: Why a piece was not made: its time ran out, one of its inputs is lost, or
-#: no target managed it.
+#: Why a piece was not computed: it was too late for its deadline or its latency objective,
+#: one of its inputs is lost, or all attempts at targets failed.
 PieceFault = Literal["late", "lost-input", "failed"]
 
 
@@ -12,7 +12,7 @@
 class PieceOrder:
     """One piece of one stage of one request."""
 
-    #: Chosen by the sender; the result carries it back.
+    #: Number chosen by the sender; the result repeats it.
     number: int
     #: Id of the request.
     request: str
@@ -20,44 +20,45 @@
     stage: int
     #: Index of the piece in the stage.
     piece: int
-    #: Key of the request's own material, for a stage that needs no other's results.
+    #: Key of the material of the request, for a stage without inputs from other stages.
     material_key: str
-    #: Handles of the results that it needs.
+    #: Handles of the results that the piece needs as inputs.
     inputs: tuple[str, ...]
-    #: Seconds after which nobody waits for the result any more.
+    #: Seconds left until the deadline, after which nobody waits for the result.
     left_seconds: float
-    #: Seconds within which the result keeps the request in aim; may be negative.
+    #: Seconds left until the result is too late for the latency objective; may be negative.
     aim_left_seconds: float
-    #: Seconds within which the request may still be given up; after that its
-    #: caller has waited so long that a late answer is better than none.
+    #: Seconds left in which the request may be abandoned; after that its caller has
+    #: waited so long that a late answer is better than none.
     give_up_left_seconds: float
-    #: Urgency; 0 comes first.
+    #: Priority rank; 0 comes first.
     rank: int
-    #: Approximate size of the result.
+    #: Approximate size of the result, in bytes.
     result_bytes: int
-    #: Whether its caller came back too late to be in aim: it gives way to others of its rank.
+    #: Whether the caller retried too late to meet the latency objective; such pieces go after
+    #: others of the same rank.
     is_late_return: bool = False
-    #: Whether the answer to its request has begun, or results of other stages are held.
+    #: Whether the answer to the request has begun, or results of other stages exist.
     is_begun: bool = False
-    #: Fingerprint of the request, the same whenever its caller sends it.
+    #: Fingerprint of the request, the same for every retry of it.
     fingerprint: str = ""
-    #: Data centre in which it should run, since its inputs or the user of its
-    #: result are there; empty when little would have to travel.
+    #: Data centre where the piece should run, since its inputs or the consumer of its
+    #: result are there; empty when little data would have to be transferred.
     home: str = ""
 
 
 @dataclass(frozen=True, kw_only=True)
 class PieceResult:
-    """What became of a piece."""
+    """Outcome of a piece."""
 
-    #: The number of its order.
+    #: Number of the order.
     number: int
-    #: Handle of the result at its maker, or an empty string.
+    #: Handle of the result at its pool target; empty when there is none.
     handle: str = ""
-    #: Why there is none, or None.
+    #: Why there is no result, or None.
     fault: PieceFault | None = None
-    #: Seconds that a piece which came now would wait for its turn.
+    #: Estimated queueing time of a piece that arrived now, in seconds.
     wait_seconds: float = 0.0
-    #: Whether nothing became of it because the pool has another owner now, which
-    #: should be asked instead.
+    #: Whether the piece was returned unprocessed because the pool has another owner now,
+    #: to which it should be sent instead.
     is_returned: bool = False
--- a/packages/damsonlane/src/damsonlane/pools/_plan.py
+++ b/packages/damsonlane/src/damsonlane/pools/_plan.py
@@ -1,4 +1,4 @@
-"""The stages of one request: which may start, and which results the last step needs."""
+"""Progress of one request through its stages: which may start, and which results are needed."""
 
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 
 from damsonlane.routes import Stage
 
-#: Seconds by which a stage is started before it must be, since queues grow meanwhile.
+#: Seconds by which a stage starts earlier than its slack allows, since queues may grow.
 START_MARGIN_SECONDS: Final = 0.1
 
 
@@ -14,13 +14,13 @@
 class StageStart:
     """A stage whose pieces may be ordered."""
 
-    #: Its index.
+    #: Index of the stage.
     index: int
     #: The stage.
     stage: Stage
     #: Number of its pieces.
     pieces: int
-    #: Handles that each piece needs.
+    #: Handles of the inputs that each piece needs.
     inputs: tuple[str, ...]
 
 
@@ -29,7 +29,7 @@
 
     Args:
         stages: the stages of its route.
-        pieces: the number of pieces of each; 0 leaves a stage out.
+        pieces: the number of pieces of each stage; 0 skips a stage.
     """
 
     def __init__(self, stages: Sequence[Stage], pieces: Sequence[int]) -> None:
@@ -44,11 +44,11 @@
     ) -> tuple[StageStart, ...]:
         """Return the stages that should start now and were not returned before.
 
-        A stage that would be done long before another way to the last step is
-        left for later: its results would only take room at their makers.
+        A stage with slack is postponed: computed too early, its results would only occupy
+        result memory until the stages on the critical path are done.
 
         Args:
-            expect_seconds: returns how long a stage will take, its queue included.
+            expect_seconds: returns the expected duration of a stage, queueing included.
         """
         longest = self.longest_seconds(expect_seconds)
         ready = [
@@ -62,42 +62,42 @@
         return tuple(self._make_start(index) for index in ready)
 
     def note(self, stage: int, piece: int, handle: str) -> None:
-        """Note the result of a piece."""
+        """Record the result of a piece."""
         self._handles[stage][piece] = handle
 
     def note_read(self, stage: int, piece: int) -> None:
-        """Note that a target has read the inputs of a piece, which is not made yet."""
+        """Record that a target has read the inputs of a piece that is not computed yet."""
         self._read[stage].add(piece)
 
     def is_done(self) -> bool:
-        """Tell whether every piece of every stage is made."""
-        return all(self._is_made(index) for index in range(len(self._stages)))
+        """Return whether every piece of every stage is computed."""
+        return all(self._is_computed(index) for index in range(len(self._stages)))
 
     def final_inputs(self) -> tuple[str, ...]:
-        """Return the handles of the stages that no other comes after."""
+        """Return the result handles of the final stages, on which no other stage depends."""
         return tuple(handle for handles in self.final_handles().values() for handle in handles)
 
     def final_handles(self) -> Mapping[int, tuple[str, ...]]:
-        """Return the handles of the stages that no other comes after, by the stage's index."""
-        used = {earlier for stage in self._stages for earlier in stage.after}
-        last = [index for index in range(len(self._stages)) if index not in used]
-        return {index: self._ordered(index) for index in last}
+        """Return the result handles of the final stages, by stage index."""
+        needed = {earlier for stage in self._stages for earlier in stage.after}
+        final = [index for index in range(len(self._stages)) if index not in needed]
+        return {index: self._list_handles(index) for index in final}
 
     def handles(self) -> tuple[str, ...]:
-        """Return all handles so far."""
-        return tuple(handle for index in self._handles for handle in self._ordered(index))
+        """Return the handles of all results so far."""
+        return tuple(handle for index in self._handles for handle in self._list_handles(index))
 
     def spent_inputs(self, stage: int) -> tuple[str, ...]:
-        """Return the handles that nothing needs any more once a stage has read its inputs."""
+        """Return the inputs of a stage that no stage needs any more."""
         return tuple(
             handle
             for earlier in self._stages[stage].after
             if self._is_spent(earlier)
-            for handle in self._ordered(earlier)
+            for handle in self._list_handles(earlier)
         )
 
     def depth_after(self, stage: int) -> tuple[Stage, ...]:
-        """Return the longest chain of stages that come after one."""
+        """Return the longest chain of stages that depend on a stage."""
         chains = [
             (later, *self.depth_after(index))
             for index, later in enumerate(self._stages)
@@ -106,35 +106,37 @@
         return max(chains, key=len, default=())
 
     def longest_seconds(self, expect_seconds: Callable[[Stage], float]) -> float:
-        """Return the time from the start of a stage to the last step, the longest of those left."""
-        left = (index for index in range(len(self._stages)) if not self._is_made(index))
+        """Return the length of the critical path through the stages left, in seconds."""
+        left = (index for index in range(len(self._stages)) if not self._is_computed(index))
         return max((self._path_seconds(index, expect_seconds) for index in left), default=0.0)
 
     def _path_seconds(self, index: int, expect_seconds: Callable[[Stage], float]) -> float:
-        """Return the time from the start of a stage to the last step."""
+        """Return the seconds from the start of a stage to the end of the longest chain after it."""
         return sum(map(expect_seconds, (self._stages[index], *self.depth_after(index))))
 
     def _may_start(self, index: int) -> bool:
-        is_wanted = self._pieces[index] > 0
-        return is_wanted and all(self._is_made(earlier) for earlier in self._stages[index].after)
+        is_included = self._pieces[index] > 0
+        return is_included and all(
+            self._is_computed(earlier) for earlier in self._stages[index].after
+        )
 
-    def _is_made(self, index: int) -> bool:
+    def _is_computed(self, index: int) -> bool:
         return len(self._handles[index]) >= self._pieces[index]
 
     def _is_spent(self, index: int) -> bool:
-        """Tell whether every stage that needs the results of one has read them."""
-        users = [number for number, stage in enumerate(self._stages) if index in stage.after]
-        return all(self._has_read(user) for user in users)
+        """Return whether every stage that needs the results of a stage has read them."""
+        dependents = [number for number, stage in enumerate(self._stages) if index in stage.after]
+        return all(self._has_read(dependent) for dependent in dependents)
 
     def _has_read(self, index: int) -> bool:
-        """Tell whether every piece of a stage has read its inputs, made or not."""
+        """Return whether every piece of a stage has read its inputs, computed or not."""
         return len(self._read[index] | set(self._handles[index])) >= self._pieces[index]
 
     def _make_start(self, index: int) -> StageStart:
         stage = self._stages[index]
-        inputs = tuple(handle for earlier in stage.after for handle in self._ordered(earlier))
+        inputs = tuple(handle for earlier in stage.after for handle in self._list_handles(earlier))
         return StageStart(index=index, stage=stage, pieces=self._pieces[index], inputs=inputs)
 
-    def _ordered(self, index: int) -> tuple[str, ...]:
-        made = self._handles[index]
-        return tuple(made[piece] for piece in sorted(made))
+    def _list_handles(self, index: int) -> tuple[str, ...]:
+        by_piece = self._handles[index]
+        return tuple(by_piece[piece] for piece in sorted(by_piece))
--- a/packages/damsonlane/src/damsonlane/pools/_queue.py
+++ b/packages/damsonlane/src/damsonlane/pools/_queue.py
@@ -1,4 +1,4 @@
-"""The queue of a pool: which pieces run next, which are too late, and how long others wait."""
+"""The queue of a pool: order, load shedding and wait estimates."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -6,36 +6,34 @@
 
 from damsonlane.pools._batch import fill_batch
 from damsonlane.pools._pieces import PieceOrder
-from damsonlane.pools._priorities import Claims
-from damsonlane.pools._recent_work import TakenWork
+from damsonlane.pools._priorities import ClassPriorities
+from damsonlane.pools._recent_work import RecentWork
 from damsonlane.pools._schedule import Schedule, WaitingStage, group_stages
 from damsonlane.pools._waiting import Offer, WaitingPiece
 
-#: Largest share of a pool that is reckoned to go on going to pieces with an earlier claim:
-#: they come in waves of a few seconds.  With 0.7 work was refused that would have kept its
-#: aim: with a target lost 0.75 and 0.68 of the less urgent kinds attained instead of 0.74 and
-#: 0.63 (replays, 8 seeds).
-MOST_TAKEN_SHARE: Final = 0.5
+#: Largest share of a pool that is assumed to be taken by further pieces of higher priority.
+#: Their load peaks last a few seconds; a larger share refuses pieces that could be in time.
+MAX_HIGHER_PRIORITY_SHARE: Final = 0.5
 
 
 @dataclass(frozen=True, kw_only=True)
 class Selection:
-    """What the queue gives out for one call."""
+    """The pieces that leave the queue when a target takes a call."""
 
     #: Pieces to run, most urgent first.
     batch: tuple[WaitingPiece, ...]
-    #: Pieces whose time has run out, or will before their turn; no longer in the queue.
+    #: Pieces that are too late, or will be before their turn; removed from the queue.
     late: tuple[WaitingPiece, ...]
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Judgement:
-    """What waits, in the order in which it should run."""
+class _Evaluation:
+    """The waiting stages, in the order in which they should run."""
 
-    #: Stages whose requests can keep their aim, soonest due first.
+    #: Stages that can meet their latency objective, earliest first.
     in_time: list[WaitingStage]
-    #: The other ones; those that are begun come first, since their earlier stages are paid for.
-    others: list[WaitingStage]
+    #: All others; those of requests already begun come first, since work was done for them.
+    not_in_time: list[WaitingStage]
 
 
 class PieceQueue:
@@ -43,149 +41,148 @@
 
     def __init__(self) -> None:
         self._waiting: dict[tuple[str, int], WaitingPiece] = {}
-        self._taken: Final = TakenWork()
-        self._claims: Final = Claims()
+        self._recent_work: Final = RecentWork()
+        self._priorities: Final = ClassPriorities()
 
     def __len__(self) -> int:
         return len(self._waiting)
 
     def add(self, piece: WaitingPiece) -> None:
-        """Add a piece; one that waits already stays as it is."""
+        """Add a piece unless it is in the queue already."""
         self._waiting.setdefault(piece.identity, piece)
 
     def withdraw(self, sender: str, number: int) -> None:
-        """Drop a piece that nobody wants any more."""
+        """Remove a piece that its sender no longer needs."""
         self._waiting.pop((sender, number), None)
 
     def withdraw_all(self, sender: str) -> None:
-        """Drop all pieces of a sender that is gone."""
+        """Remove all pieces of a sender that is disconnected."""
         for identity in [key for key in self._waiting if key[0] == sender]:
             del self._waiting[identity]
 
     def take_all(self) -> tuple[WaitingPiece, ...]:
-        """Take out all pieces."""
+        """Remove and return all pieces."""
         pieces = tuple(self._waiting.values())
         self._waiting.clear()
         return pieces
 
     def forecast(self, now: float, offer: Offer, like: PieceOrder) -> float:
-        """Return the seconds until a piece like another one would begin if it came now.
+        """Return the seconds until a piece like a given one would start if it were added now.
 
-        Only pieces that go before it count: not the late ones, nor those that
-        are due after it.
+        Only pieces that go before it count: not those that already miss their latency
+        objective, nor those whose objective is later.
         """
         soonest = offer.soonest(now)
-        due_at = now + like.aim_left_seconds
-        ahead = sum(soonest <= piece.aim_at <= due_at for piece in self._waiting.values())
-        wait = ahead / offer.pieces_per_second * self._stretch(like.rank, now, offer)
+        last_aim_at = now + like.aim_left_seconds
+        ahead = sum(soonest <= piece.aim_at <= last_aim_at for piece in self._waiting.values())
+        wait = ahead / offer.pieces_per_second * self._wait_factor(like.rank, now, offer)
         return offer.return_seconds + wait
 
     def select(self, now: float, offer: Offer) -> Selection:
-        """Take out the pieces for one call, and those that are too late."""
+        """Remove and return the pieces of the next call, and those that are too late."""
         expired = self.take_expired(now, offer)
-        judgement = self._judge(now, offer)
-        hopeless = self._find_hopeless(judgement, now, offer)
-        late = _list_pieces(hopeless)
-        self._note_refused(late, now)
+        evaluation = self._evaluate(now, offer)
+        refused = self._list_refused(evaluation, now, offer)
+        late = _list_pieces(refused)
+        self._record_refused(late, now)
         self._remove(late)
-        ordered = _list_pieces([*judgement.in_time, *judgement.others])
+        ordered = _list_pieces([*evaluation.in_time, *evaluation.not_in_time])
         left = [piece for piece in ordered if piece.identity in self._waiting]
         batch = fill_batch(left, now, offer)
         self._remove(batch)
         for piece in batch:
-            self._taken.note(piece.order.rank, now)
+            self._recent_work.record(piece.order.rank, now)
             if not piece.order.is_late_return:
-                self._claims.note_taken(piece.order.rank, now)
+                self._priorities.record_served(piece.order.rank, now)
         return Selection(batch=tuple(batch), late=(*expired, *late))
 
     def take_late(self, now: float, offer: Offer) -> tuple[WaitingPiece, ...]:
-        """Take out the pieces whose time has run out, or will before their turn."""
+        """Remove and return the pieces that are too late, or will be before their turn."""
         expired = self.take_expired(now, offer)
-        hopeless = _list_pieces(self._find_hopeless(self._judge(now, offer), now, offer))
-        self._note_refused(hopeless, now)
-        self._remove(hopeless)
-        return (*expired, *hopeless)
+        refused = _list_pieces(self._list_refused(self._evaluate(now, offer), now, offer))
+        self._record_refused(refused, now)
+        self._remove(refused)
+        return (*expired, *refused)
 
     def take_expired(self, now: float, offer: Offer) -> tuple[WaitingPiece, ...]:
-        """Take out the pieces that nobody waits for any longer than a call takes."""
+        """Remove and return the pieces whose deadline passes before a call could compute them."""
         soonest = offer.soonest(now)
         expired = [piece for piece in self._waiting.values() if piece.due_at < soonest]
         self._remove(expired)
         return tuple(expired)
 
-    def _judge(self, now: float, offer: Offer) -> _Judgement:
-        """Tell which stages can keep their aim in this queue, and order all of them."""
+    def _evaluate(self, now: float, offer: Offer) -> _Evaluation:
+        """Order the waiting stages and separate those that can meet their latency objective."""
         schedule = Schedule(offer, now)
         stages = group_stages(self._waiting.values())
         in_time: list[WaitingStage] = []
-        others: list[WaitingStage] = []
+        not_in_time: list[WaitingStage] = []
         ranks = {stage.rank for stage in stages}
-        claims = {rank: self._claims.rate(rank) for rank in ranks}
-        # Once a rank: reckoned for each stage it took most of the time of a judgement.
-        shares = {rank: self._find_share(rank, now, offer) for rank in ranks}
-        for stage in sorted(stages, key=lambda stage: _rate_claim(stage, claims[stage.rank])):
-            is_placed = schedule.try_add(stage, shares[stage.rank])
-            (in_time if is_placed else others).append(stage)
+        priorities = {rank: self._priorities.sort_key(rank) for rank in ranks}
+        # Computed once per rank and not per stage, to keep evaluations cheap.
+        shares = {rank: self._capacity_share(rank, now, offer) for rank in ranks}
+        for stage in sorted(stages, key=lambda stage: _priority_key(stage, priorities[stage.rank])):
+            is_scheduled = schedule.try_add(stage, shares[stage.rank])
+            (in_time if is_scheduled else not_in_time).append(stage)
         in_time.sort(key=lambda stage: stage.aim_at)
-        others.sort(key=_rate_late)
-        return _Judgement(in_time=in_time, others=others)
-
-    def _find_hopeless(self, judgement: _Judgement, now: float, offer: Offer) -> list[WaitingStage]:
-        """Return those of the stages that can't keep their aim which are to be told so.
-
-        Requests that are not begun are told while their callers can still come back.
-        A begun one is given up as well, since its results take the room of answers
-        that are in time, but not once its caller has waited for long.  What the targets
-        take at once is not hopeless, unless no target works.
+        not_in_time.sort(key=_late_key)
+        return _Evaluation(in_time=in_time, not_in_time=not_in_time)
+
+    def _list_refused(
+        self, evaluation: _Evaluation, now: float, offer: Offer
+    ) -> list[WaitingStage]:
+        """Return the stages not in time whose requests are to be refused.
+
+        Requests that are not begun are refused while their callers can still retry.
+        Those begun are abandoned as well, since their results occupy result memory that
+        requests in time need, but not once their callers have waited for long.  Stages that
+        the targets can take at once are not refused, unless no target can be used.
         """
         at_once = offer.pieces_soon
-        ahead = sum(len(stage.pieces) for stage in judgement.in_time)
-        hopeless: list[WaitingStage] = []
-        for stage in judgement.others:
+        ahead = sum(len(stage.pieces) for stage in evaluation.in_time)
+        refused: list[WaitingStage] = []
+        for stage in evaluation.not_in_time:
             if ahead >= at_once and stage.may_be_refused(now):
-                hopeless.append(stage)
+                refused.append(stage)
             else:
                 ahead += len(stage.pieces)
-        return hopeless
+        return refused
 
-    def _find_share(self, rank: int, now: float, offer: Offer) -> float:
-        """Return the part of the pool that is there for a rank, since more urgent work comes.
-
-        What came lately is reckoned to go on.
-        """
-        return offer.yielded_share / self._stretch(rank, now, offer)
+    def _capacity_share(self, rank: int, now: float, offer: Offer) -> float:
+        """Return the share of the nominal throughput that is left for a rank."""
+        return offer.yielded_share / self._wait_factor(rank, now, offer)
 
-    def _stretch(self, rank: int, now: float, offer: Offer) -> float:
-        """Return how many times longer pieces of a rank wait, since more urgent ones still come.
+    def _wait_factor(self, rank: int, now: float, offer: Offer) -> float:
+        """Return by what factor further pieces of higher priority lengthen the wait of a rank.
 
-        What came lately is reckoned to go on: its share of the pool is not there for others.
+        They are assumed to keep arriving at their recent rate.
         """
-        before = self._claims.list_before(rank, self._taken.ranks())
-        share = self._taken.rate_of(before, now) / offer.pieces_per_second
-        return 1.0 / (1.0 - min(MOST_TAKEN_SHARE, share))
+        before = self._priorities.list_before(rank, self._recent_work.ranks())
+        share = self._recent_work.rate_of(before, now) / offer.pieces_per_second
+        return 1.0 / (1.0 - min(MAX_HIGHER_PRIORITY_SHARE, share))
 
-    def _note_refused(self, pieces: Sequence[WaitingPiece], now: float) -> None:
+    def _record_refused(self, pieces: Sequence[WaitingPiece], now: float) -> None:
         for piece in pieces:
             if not piece.order.is_late_return:
-                self._claims.note_refused(piece.order.rank, now)
+                self._priorities.record_refused(piece.order.rank, now)
 
     def _remove(self, pieces: list[WaitingPiece]) -> None:
         for piece in pieces:
             del self._waiting[piece.identity]
 
 
-def _rate_claim(
-    stage: WaitingStage, claim: tuple[int, float, int]
+def _priority_key(
+    stage: WaitingStage, priority: tuple[int, float, int]
 ) -> tuple[tuple[int, float, int], bool, float]:
-    """Return the claim of a stage to a place in time; the least goes first.
+    """Return the sort key by which stages are scheduled; the least goes first.
 
-    A caller that came back is late whatever is done, so it gives way within its rank.
+    Late retries go last within their rank, since they miss their latency objective anyway.
     """
-    return (claim, stage.pieces[0].order.is_late_return, stage.aim_at)
+    return (priority, stage.pieces[0].order.is_late_return, stage.aim_at)
 
 
-def _rate_late(stage: WaitingStage) -> tuple[bool, int, float]:
-    """Return the place of a stage among those that can't keep their aim; the least goes first."""
+def _late_key(stage: WaitingStage) -> tuple[bool, int, float]:
+    """Return the sort key of a stage that misses its latency objective; the least goes first."""
     return (stage.is_first, stage.rank, stage.aim_at)
 
 
--- a/packages/damsonlane/src/damsonlane/pools/_waiting.py
+++ b/packages/damsonlane/src/damsonlane/pools/_waiting.py
@@ -1,4 +1,4 @@
-"""What waits in the queue of a pool, and what a target offers it."""
+"""Pieces in the queue of a pool, and the capacity of the pool when a target is free."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -12,15 +12,15 @@
 
     #: The order.
     order: PieceOrder
-    #: Who ordered it; results go back there.
+    #: Name of the sender, to which the result is returned.
     sender: str
-    #: When nobody waits for it any more, by the monotonic clock.
+    #: Deadline after which nobody waits for the result, by the monotonic clock.
     due_at: float
-    #: When its result must be there to keep its request in aim.
+    #: When the result must be available to meet the latency objective, by the same clock.
     aim_at: float
-    #: Until when its request may be given up.
+    #: Until when the request may be abandoned, by the same clock.
     give_up_until: float = float("inf")
-    #: How often it was sent to a target already.
+    #: Number of times that the piece was sent to a target.
     attempts: int = 0
 
     @property
@@ -30,7 +30,7 @@
 
     @property
     def is_first(self) -> bool:
-        """Whether nothing has been done for its request yet."""
+        """Whether no work has been done for the request yet."""
         return not (self.order.inputs or self.order.is_begun or self.attempts)
 
     @property
@@ -41,51 +41,51 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Offer:
-    """A target that could take a call, and the pool it belongs to."""
+    """A target that can take a call, and the capacity of its pool."""
 
-    #: Its data centre.
+    #: Data centre of the target.
     data_centre: str
-    #: Bytes free for results there.
+    #: Free result memory of the target, in bytes.
     room: int
-    #: Seconds until a target is free in each data centre that has one that works.
+    #: Seconds until a target is free, for each data centre with a usable target.
     free_in: Mapping[str, float]
-    #: Seconds until each target that works is free, or has less than its rate limit again.
+    #: Seconds until each usable target is free and below its rate limit.
     busy_seconds: tuple[float, ...]
-    #: Most pieces in one call.
+    #: Maximum number of pieces in one call.
     batch: int
-    #: Time of a call besides its pieces, in seconds.
+    #: Fixed time of a call besides its pieces, in seconds.
     call_seconds: float
     #: Time of one piece, in seconds.
     piece_seconds: float
-    #: What the pool makes while more waits than fits, as a share of what its traits promise.
+    #: Measured throughput under load, as a share of the nominal throughput.
     yielded_share: float = 1.0
-    #: Seconds for which no target of the pool takes a call, since all asked for that.
+    #: Seconds for which all targets of the pool back off; 0 if any is usable.
     return_seconds: float = 0.0
-    #: Least seconds from one call to the next at each target that works, by its rate limit;
-    #: empty where none named one.
+    #: Minimum seconds from one call to the next at each usable target, by its rate limit;
+    #: empty if no target announced one.
     gap_seconds: tuple[float, ...] = ()
 
     @property
     def targets(self) -> int:
-        """Targets of the pool that work."""
+        """Number of usable targets of the pool."""
         return len(self.busy_seconds)
 
     @property
     def full_seconds(self) -> float:
-        """Time of a call with as many pieces as it may have."""
+        """Time of a call with the maximum number of pieces."""
         return self.call_seconds + self.batch * self.piece_seconds
 
     @property
     def pieces_at_once(self) -> int:
-        """Most pieces that the targets of the pool take at the same time."""
+        """Maximum number of pieces that the targets of the pool process at the same time."""
         return self.batch * max(1, self.targets)
 
     @property
     def pieces_soon(self) -> int:
-        """Most pieces that the targets that work take now, or within a call's length.
+        """Number of pieces that usable targets take now or within the time of one call.
 
-        One that takes a call in several times that, by its rate limit, counts as a part of a
-        target until then, so this may be 0: what waits for that call is told rather than kept.
+        A target whose next call is delayed by its rate limit counts as a fraction, so this may
+        be 0: pieces that would be late after that call are refused rather than kept.
         """
         if not self.gap_seconds:
             return self.batch * self.targets
@@ -97,15 +97,15 @@
 
     @property
     def pieces_per_second(self) -> float:
-        """Pieces that the pool makes in a second while more wait than fit."""
+        """Throughput of the pool under load, in pieces per second."""
         if not self.gap_seconds:
             return self.yielded_share * self.pieces_at_once / self.full_seconds
         return self.yielded_share * self.batch * sum(1.0 / cycle for cycle in self._cycles())
 
     def _cycles(self) -> tuple[float, ...]:
-        """Return the seconds from one full call to the next at each target that works."""
+        """Return the seconds from one full call to the next at each usable target."""
         return tuple(max(self.full_seconds, gap) for gap in self.gap_seconds)
 
     def soonest(self, now: float) -> float:
-        """Return when a piece that is sent now could be made, alone in its call."""
+        """Return when a piece sent now, alone in its call, would be computed at the earliest."""
         return now + self.return_seconds + self.call_seconds + self.piece_seconds
--- a/packages/damsonlane/src/damsonlane/pools/tests/simulation.py
+++ b/packages/damsonlane/src/damsonlane/pools/tests/simulation.py
@@ -1,7 +1,7 @@
-"""Load patterns played against the queue of one pool, in virtual time and by seed.
+"""Discrete-event simulation of load patterns on the queue of one pool, by seed.
 
-Only the decisions are real: targets are a queueing model (a call takes its time,
-results take room until their request has all of them), and nothing is sent.
+The scheduling decisions are those of the real code.  Targets are a queueing model: a call takes
+its nominal time, and results occupy memory until their request has all of them.
 """
 
 import heapq
@@ -21,125 +21,125 @@
     YieldedWork,
 )
 
-#: Seconds for which a target keeps a result that nobody gives up.
+#: Seconds after which a target evicts a result that is not released.
 KEEP_SECONDS: Final = 4.0
-#: Seconds from the last result of a request until its results are given up.
+#: Seconds from the last result of a request until its results are released.
 USE_SECONDS: Final = 0.08
-#: Seconds within which a request that is begun may still be given up, as a share of its time.
+#: Share of its deadline during which a request that is begun may still be abandoned.
 GIVE_UP_SHARE: Final = 0.45
 
 
 @dataclass(frozen=True, kw_only=True)
 class Pool:
-    """A pool as its traits tell it."""
+    """Properties of a pool."""
 
     #: Data centre of each target.
-    centres: tuple[str, ...] = ("a", "b", "c")
-    #: Most pieces in a call.
+    data_centres: tuple[str, ...] = ("a", "b", "c")
+    #: Maximum number of pieces in a call.
     batch: int = 5
-    #: Time of a call besides its pieces, in seconds.
+    #: Fixed time of a call besides its pieces, in seconds.
     call_seconds: float = 0.2
     #: Time of one piece, in seconds.
     piece_seconds: float = 0.034
-    #: Bytes for results at a target.
+    #: Result memory of a target, in bytes.
     room: int = 11_250_000
 
 
 @dataclass(frozen=True, kw_only=True)
-class Kind:
-    """A kind of request, with what it needs of the pool."""
+class RequestClass:
+    """A request class, with its load on the pool."""
 
-    #: Its rank.
+    #: Priority rank.
     rank: int
-    #: Requests a second.
+    #: Requests per second.
     rate: float
-    #: Pieces of a request: each number is as likely as the others.
+    #: Possible numbers of pieces of a request, all equally likely.
     pieces: tuple[int, ...]
     #: Size of a result, in bytes.
     result_bytes: int
-    #: Seconds from arrival within which its pieces must be made.
+    #: Latency objective for its pieces, in seconds from arrival.
     aim_seconds: float
-    #: Seconds from arrival after which nobody waits any more.
+    #: Deadline, in seconds from arrival.
     deadline_seconds: float = 6.0
-    #: Whether its pieces have inputs, which lie in one data centre.
+    #: Whether its pieces have inputs, all of them stored in one data centre.
     has_inputs: bool = False
 
 
 @dataclass(frozen=True, kw_only=True)
-class Wave:
-    """More requests of one kind for a while."""
+class LoadPeak:
+    """A temporary increase of the load of one request class."""
 
-    #: Index of the kind.
-    kind: int
+    #: Index of the request class.
+    request_class: int
     #: When it starts and ends, in seconds.
     start: float
     end: float
-    #: Times the usual rate.
+    #: Factor on the usual rate.
     times: float
 
 
 @dataclass(frozen=True, kw_only=True)
-class Loss:
-    """A target that takes no calls for a while, and loses what it had."""
+class Outage:
+    """A target that takes no calls for a while and loses its call in progress."""
 
     #: Index of the target.
     target: int
-    #: When it is gone and back, in seconds.
+    #: Start and end of the outage, in seconds.
     start: float
     end: float
 
 
 @dataclass(frozen=True, kw_only=True)
-class Pattern:
+class LoadPattern:
     """A load pattern."""
 
     #: The pool.
     pool: Pool = field(default_factory=Pool)
-    #: Kinds of request.
-    kinds: tuple[Kind, ...]
-    #: Waves.
-    waves: tuple[Wave, ...] = ()
-    #: Targets that are lost.
-    losses: tuple[Loss, ...] = ()
+    #: Request classes.
+    classes: tuple[RequestClass, ...]
+    #: Load peaks.
+    peaks: tuple[LoadPeak, ...] = ()
+    #: Outages of targets.
+    outages: tuple[Outage, ...] = ()
     #: Length, in seconds.
     seconds: float = 12.0
-    #: Seconds after which a caller that was refused comes back once; None for never.
-    return_seconds: float | None = None
-    #: Whether who comes back is known for it; otherwise it counts as a new request.
-    knows_returns: bool = True
-    #: Whether forecasts go by what the pool makes; otherwise by what it promises.
-    knows_yield: bool = True
+    #: Seconds after which a refused caller retries once; None for never.
+    retry_seconds: float | None = None
+    #: Whether retries are recognised as such; otherwise they count as new requests.
+    detects_retries: bool = True
+    #: Whether the queue uses the measured throughput; otherwise the nominal one.
+    uses_measured_throughput: bool = True
 
 
 @dataclass(kw_only=True)
 class Outcome:
-    """What became of the requests of one kind."""
+    """Outcome counts of the requests of one class."""
 
     #: Requests that arrived.
     arrived: int = 0
-    #: Requests whose pieces were made within their aim.
-    in_aim: int = 0
-    #: Requests whose pieces were made later.
+    #: Requests whose pieces were computed within the latency objective.
+    in_time: int = 0
+    #: Requests whose pieces were computed later.
     late: int = 0
-    #: Seconds after which each of the others was refused, first and later tries alike.
+    #: Seconds until refusal of each other request, first attempts and retries alike.
     refused_after: list[float] = field(default_factory=list)
-    #: Requests that came back and were refused again.
-    refused_again: int = 0
-    #: Pieces made, and those of them made in another data centre than their inputs.
-    made: int = 0
-    made_away: int = 0
+    #: Retries that were refused.
+    refused_retries: int = 0
+    #: Pieces computed, and those of them computed away from the data centre of their inputs.
+    computed: int = 0
+    computed_away: int = 0
 
     @property
     def attained(self) -> float:
-        """Share of the requests whose pieces were made within their aim."""
-        return self.in_aim / max(1, self.arrived)
+        """Share of the requests whose pieces were computed within the latency objective."""
+        return self.in_time / max(1, self.arrived)
 
 
 @dataclass(kw_only=True)
 class _Request:
-    """A request under way."""
+    """A request in progress."""
 
-    kind: int
+    request_class: int
     arrived_at: float
     left: int
     first_at: float
@@ -147,15 +147,15 @@
     is_over: bool = False
 
 
-class Replay:
-    """One play of a pattern.
+class Simulation:
+    """One run of a load pattern.
 
     Args:
-        pattern: the load.
-        seed: draws arrivals and pieces.
+        pattern: the load pattern.
+        seed: seed of arrivals and numbers of pieces.
     """
 
-    def __init__(self, pattern: Pattern, seed: int) -> None:
+    def __init__(self, pattern: LoadPattern, seed: int) -> None:
         self._pattern: Final = pattern
         self._random: Final = random.Random(seed)
         self._queue: Final = PieceQueue()
@@ -163,63 +163,70 @@
         self._order: Final = itertools.count()
         self._requests: dict[str, _Request] = {}
         pool = pattern.pool
-        self._rooms: Final = [ResultRoom(pool.room, KEEP_SECONDS) for _ in pool.centres]
-        self._free_at: Final = [0.0 for _ in pool.centres]
-        self._is_busy: Final = [False for _ in pool.centres]
-        self._yielded: Final = YieldedWork()
-        #: Outcomes by kind.
-        self.outcomes: Final = [Outcome() for _ in pattern.kinds]
-        #: Seconds that targets worked on results which nobody used.
+        self._memories: Final = [ResultRoom(pool.room, KEEP_SECONDS) for _ in pool.data_centres]
+        self._free_at: Final = [0.0 for _ in pool.data_centres]
+        self._is_busy: Final = [False for _ in pool.data_centres]
+        self._throughput: Final = YieldedWork()
+        #: Outcomes by index of the request class.
+        self.outcomes: Final = [Outcome() for _ in pattern.classes]
+        #: Seconds of target time spent on results that were not used.
         self.wasted_seconds = 0.0
 
     def run(self) -> "list[Outcome]":
-        """Play to the end and return the outcomes by kind."""
-        for index in range(len(self._pattern.kinds)):
+        """Run to the end and return the outcomes by request class."""
+        for index in range(len(self._pattern.classes)):
             self._plan_arrivals(index)
         while self._events:
             now, _, act = heapq.heappop(self._events)
             act(now)
-            self._pump(now)
+            self._start_calls(now)
         return self.outcomes
 
-    def _at(self, when: float, act: Callable[[float], None]) -> None:
+    def _schedule(self, when: float, act: Callable[[float], None]) -> None:
         heapq.heappush(self._events, (when, next(self._order), act))
 
     def _plan_arrivals(self, index: int) -> None:
-        kind = self._pattern.kinds[index]
-        times = [wave.times for wave in self._pattern.waves if wave.kind == index]
-        most = kind.rate * max([1.0, *times])
+        request_class = self._pattern.classes[index]
+        times = [peak.times for peak in self._pattern.peaks if peak.request_class == index]
+        most = request_class.rate * max([1.0, *times])
         now = 0.0
         while True:
             now += self._random.expovariate(most)
             if now > self._pattern.seconds:
                 return
-            if self._random.random() < kind.rate * self._times(index, now) / most:
-                self._at(now, lambda at: self._arrive(index, at))
+            if (
+                self._random.random()
+                < request_class.rate * self._find_multiplier(index, now) / most
+            ):
+                self._schedule(now, lambda at: self._arrive(index, at))
 
-    def _times(self, index: int, now: float) -> float:
-        waves = [wave for wave in self._pattern.waves if wave.kind == index]
-        return max([1.0, *(wave.times for wave in waves if wave.start <= now < wave.end)])
+    def _find_multiplier(self, index: int, now: float) -> float:
+        peaks = [peak for peak in self._pattern.peaks if peak.request_class == index]
+        return max([1.0, *(peak.times for peak in peaks if peak.start <= now < peak.end)])
 
     def _arrive(self, index: int, now: float) -> None:
         self.outcomes[index].arrived += 1
-        count = self._random.choice(self._pattern.kinds[index].pieces)
+        count = self._random.choice(self._pattern.classes[index].pieces)
         self._order_pieces(index, count, first_at=now, now=now)
 
-    def _come_back(self, request: _Request, count: int, now: float) -> None:
-        self._order_pieces(request.kind, count, first_at=request.first_at, now=now)
+    def _retry(self, request: _Request, count: int, now: float) -> None:
+        self._order_pieces(request.request_class, count, first_at=request.first_at, now=now)
 
     def _order_pieces(self, index: int, count: int, *, first_at: float, now: float) -> None:
-        kind = self._pattern.kinds[index]
+        request_class = self._pattern.classes[index]
         name = f"{index}-{len(self._requests)}"
-        self._requests[name] = _Request(kind=index, arrived_at=now, left=count, first_at=first_at)
+        self._requests[name] = _Request(
+            request_class=index, arrived_at=now, left=count, first_at=first_at
+        )
         waited = now - first_at
-        left = kind.deadline_seconds - waited
-        aim_left = kind.aim_seconds - waited
-        home = self._random.choice(self._pattern.pool.centres) if kind.has_inputs else ""
+        left = request_class.deadline_seconds - waited
+        aim_left = request_class.aim_seconds - waited
+        home = (
+            self._random.choice(self._pattern.pool.data_centres) if request_class.has_inputs else ""
+        )
         is_late_return = waited > 0 and aim_left < self._pattern.pool.call_seconds
-        if is_late_return or not self._pattern.knows_returns:
-            aim_left = kind.aim_seconds
+        if is_late_return or not self._pattern.detects_retries:
+            aim_left = request_class.aim_seconds
         for piece in range(count):
             order = PieceOrder(
                 number=next(self._order),
@@ -227,14 +234,14 @@
                 stage=0,
                 piece=piece,
                 material_key="k",
-                inputs=("h",) if kind.has_inputs else (),
+                inputs=("h",) if request_class.has_inputs else (),
                 home=home,
                 left_seconds=left,
                 aim_left_seconds=aim_left,
-                give_up_left_seconds=GIVE_UP_SHARE * kind.deadline_seconds,
-                rank=kind.rank,
-                is_late_return=is_late_return and self._pattern.knows_returns,
-                result_bytes=kind.result_bytes,
+                give_up_left_seconds=GIVE_UP_SHARE * request_class.deadline_seconds,
+                rank=request_class.rank,
+                is_late_return=is_late_return and self._pattern.detects_retries,
+                result_bytes=request_class.result_bytes,
             )
             self._queue.add(
                 WaitingPiece(
@@ -248,51 +255,57 @@
 
     # Targets.
 
-    def _is_lost(self, target: int, now: float) -> bool:
-        losses = self._pattern.losses
-        return any(loss.target == target and loss.start <= now < loss.end for loss in losses)
+    def _is_down(self, target: int, now: float) -> bool:
+        outages = self._pattern.outages
+        return any(
+            outage.target == target and outage.start <= now < outage.end for outage in outages
+        )
 
-    def _pump(self, now: float) -> None:
+    def _start_calls(self, now: float) -> None:
         for target in range(len(self._free_at)):
-            if not len(self._queue) or self._is_busy[target] or self._is_lost(target, now):
+            if not len(self._queue) or self._is_busy[target] or self._is_down(target, now):
                 continue
             selection = self._queue.select(now, self._make_offer(target, now))
             self._refuse(selection.late, now)
             if selection.batch:
-                self._start(target, selection.batch, now)
+                self._start_call(target, selection.batch, now)
 
     def _make_offer(self, target: int, now: float) -> Offer:
         pool = self._pattern.pool
-        works = [index for index in range(len(self._free_at)) if not self._is_lost(index, now)]
-        waits = {index: max(0.0, self._free_at[index] - now) for index in works}
+        usable = [index for index in range(len(self._free_at)) if not self._is_down(index, now)]
+        waits = {index: max(0.0, self._free_at[index] - now) for index in usable}
         free_in: dict[str, float] = {}
-        for index in works:
-            centre = pool.centres[index]
+        for index in usable:
+            centre = pool.data_centres[index]
             free_in[centre] = min(waits[index], free_in.get(centre, waits[index]))
         return Offer(
-            data_centre=pool.centres[target],
-            room=self._rooms[target].free_bytes(now),
+            data_centre=pool.data_centres[target],
+            room=self._memories[target].free_bytes(now),
             free_in=free_in,
             busy_seconds=tuple(waits.values()),
             batch=pool.batch,
             call_seconds=pool.call_seconds,
             piece_seconds=pool.piece_seconds,
-            yielded_share=self._yielded.share() if self._pattern.knows_yield else 1.0,
+            yielded_share=self._throughput.share()
+            if self._pattern.uses_measured_throughput
+            else 1.0,
         )
 
-    def _start(self, target: int, batch: Sequence[WaitingPiece], now: float) -> None:
+    def _start_call(self, target: int, batch: Sequence[WaitingPiece], now: float) -> None:
         pool = self._pattern.pool
         seconds = pool.call_seconds + len(batch) * pool.piece_seconds
         if len(batch) + len(self._queue) >= pool.batch:
             full_seconds = pool.call_seconds + pool.batch * pool.piece_seconds
-            self._yielded.note(len(batch), pool.batch, seconds, full_seconds)
+            self._throughput.note(len(batch), pool.batch, seconds, full_seconds)
         announced = sum(piece.order.result_bytes for piece in batch)
-        self._rooms[target].announce(announced)
+        self._memories[target].announce(announced)
         self._is_busy[target] = True
         self._free_at[target] = now + seconds
-        self._at(now + seconds, lambda at: self._end(target, batch, announced, seconds, at))
+        self._schedule(
+            now + seconds, lambda at: self._finish_call(target, batch, announced, seconds, at)
+        )
 
-    def _end(
+    def _finish_call(
         self,
         target: int,
         batch: Sequence[WaitingPiece],
@@ -301,43 +314,43 @@
         now: float,
     ) -> None:
         self._is_busy[target] = False
-        if self._is_lost(target, now):
-            self._rooms[target].settle(announced, {}, now)
+        if self._is_down(target, now):
+            self._memories[target].settle(announced, {}, now)
             for piece in batch:
                 self._queue.add(piece)
-            self._at(now + 0.15, lambda _: None)
+            self._schedule(now + 0.15, lambda _: None)
             return
-        made = {f"{piece.order.number}": piece.order.result_bytes for piece in batch}
-        self._rooms[target].settle(announced, made, now)
+        computed = {f"{piece.order.number}": piece.order.result_bytes for piece in batch}
+        self._memories[target].settle(announced, computed, now)
         for piece in batch:
-            self._take(target, piece, seconds / len(batch), now)
+            self._take_result(target, piece, seconds / len(batch), now)
 
-    def _take(self, target: int, piece: WaitingPiece, seconds: float, now: float) -> None:
+    def _take_result(self, target: int, piece: WaitingPiece, seconds: float, now: float) -> None:
         request = self._requests[piece.order.request]
         handle = f"{piece.order.number}"
-        self._count_made(request, piece, target)
+        self._count_computed(request, piece, target)
         if request.is_over:
             self.wasted_seconds += seconds
-            self._rooms[target].free(handle)
+            self._memories[target].free(handle)
             return
         request.handles.append((target, handle))
         request.left -= 1
         if request.left:
             return
         request.is_over = True
-        self._at(now + USE_SECONDS, lambda _: self._free(request))
-        outcome = self.outcomes[request.kind]
-        aim = self._pattern.kinds[request.kind].aim_seconds
+        self._schedule(now + USE_SECONDS, lambda _: self._release_results(request))
+        outcome = self.outcomes[request.request_class]
+        aim = self._pattern.classes[request.request_class].aim_seconds
         if now <= request.first_at + aim:
-            outcome.in_aim += 1
+            outcome.in_time += 1
         else:
             outcome.late += 1
 
-    def _count_made(self, request: _Request, piece: WaitingPiece, target: int) -> None:
-        outcome = self.outcomes[request.kind]
-        outcome.made += 1
-        is_away = piece.order.home not in ("", self._pattern.pool.centres[target])
-        outcome.made_away += is_away
+    def _count_computed(self, request: _Request, piece: WaitingPiece, target: int) -> None:
+        outcome = self.outcomes[request.request_class]
+        outcome.computed += 1
+        is_away = piece.order.home not in ("", self._pattern.pool.data_centres[target])
+        outcome.computed_away += is_away
 
     def _refuse(self, late: Sequence[WaitingPiece], now: float) -> None:
         for piece in late:
@@ -345,31 +358,31 @@
             if request.is_over:
                 continue
             request.is_over = True
-            self._free(request)
-            outcome = self.outcomes[request.kind]
+            self._release_results(request)
+            outcome = self.outcomes[request.request_class]
             outcome.refused_after.append(now - request.arrived_at)
             if request.first_at < request.arrived_at:
-                outcome.refused_again += 1
-            elif self._pattern.return_seconds is not None:
+                outcome.refused_retries += 1
+            elif self._pattern.retry_seconds is not None:
                 count = request.left + len(request.handles)
-                back_at = now + self._pattern.return_seconds
-                self._at(back_at, partial(self._come_back, request, count))
+                back_at = now + self._pattern.retry_seconds
+                self._schedule(back_at, partial(self._retry, request, count))
 
-    def _free(self, request: _Request) -> None:
+    def _release_results(self, request: _Request) -> None:
         for target, handle in request.handles:
-            self._rooms[target].free(handle)
+            self._memories[target].free(handle)
 
 
-def play(pattern: Pattern, seeds: int) -> list[Outcome]:
-    """Return the outcomes by kind, added up over some seeds."""
-    totals = [Outcome() for _ in pattern.kinds]
+def simulate(pattern: LoadPattern, seeds: int) -> list[Outcome]:
+    """Return the outcomes by request class, summed over the first seeds."""
+    totals = [Outcome() for _ in pattern.classes]
     for seed in range(seeds):
-        for total, outcome in zip(totals, Replay(pattern, seed).run(), strict=True):
+        for total, outcome in zip(totals, Simulation(pattern, seed).run(), strict=True):
             total.arrived += outcome.arrived
-            total.in_aim += outcome.in_aim
+            total.in_time += outcome.in_time
             total.late += outcome.late
             total.refused_after.extend(outcome.refused_after)
-            total.refused_again += outcome.refused_again
-            total.made += outcome.made
-            total.made_away += outcome.made_away
+            total.refused_retries += outcome.refused_retries
+            total.computed += outcome.computed
+            total.computed_away += outcome.computed_away
     return totals
--- a/packages/damsonlane/src/damsonlane/pools/tests/test_plan.py
+++ b/packages/damsonlane/src/damsonlane/pools/tests/test_plan.py
@@ -1,4 +1,4 @@
-"""The stages of one request."""
+"""Progress of one request through its stages."""
 
 import unittest
 
@@ -15,7 +15,7 @@
         Stage(service="c", after=(2,)),
     )
 
-    def test_stages_start_when_those_before_them_are_made(self) -> None:
+    def test_stages_start_when_their_dependencies_are_computed(self) -> None:
         plan = StagePlan(self.stages, (1, 1, 2, 1))
         self.assertEqual([start.index for start in plan.take_ready()], [0, 1])
         self.assertEqual(plan.take_ready(), ())
@@ -27,7 +27,7 @@
         plan.note(2, 0, "h2")
         self.assertEqual(plan.take_ready()[0].inputs, ("h2", "h3"))
 
-    def test_the_last_step_gets_what_no_stage_uses(self) -> None:
+    def test_final_inputs_are_the_results_that_no_stage_needs(self) -> None:
         plan = StagePlan(self.stages, (2, 1, 1, 1))
         for stage, piece, handle in (
             (0, 1, "x1"),
@@ -41,11 +41,11 @@
         self.assertTrue(plan.is_done())
         self.assertEqual(plan.final_inputs(), ("x0", "x1", "c"))
 
-    def test_a_stage_without_pieces_is_left_out(self) -> None:
+    def test_a_stage_without_pieces_is_skipped(self) -> None:
         plan = StagePlan(self.stages, (0, 1, 1, 1))
         self.assertEqual([start.index for start in plan.take_ready()], [1])
 
-    def test_results_are_spent_once_every_user_is_made(self) -> None:
+    def test_results_are_spent_once_all_dependent_stages_are_computed(self) -> None:
         stages = (
             Stage(service="a"),
             Stage(service="b", after=(0,)),
@@ -58,7 +58,7 @@
         plan.note(2, 0, "c")
         self.assertEqual(plan.spent_inputs(2), ("a",))
 
-    def test_a_stage_with_time_to_spare_starts_when_the_longest_way_is_as_short(self) -> None:
+    def test_a_stage_with_slack_is_postponed_until_the_critical_path_is_as_short(self) -> None:
         plan = StagePlan(self.stages, (1, 1, 1, 1))
         seconds = {"a": 0.4, "b": 0.5, "c": 0.4}
 
@@ -72,7 +72,7 @@
         plan.note(2, 0, "h2")
         self.assertEqual(take(), [0, 3])
 
-    def test_a_queue_brings_a_stage_forward(self) -> None:
+    def test_a_longer_queue_makes_a_stage_start_earlier(self) -> None:
         plan = StagePlan(self.stages, (1, 1, 1, 1))
         seconds = {"a": 1.0, "b": 0.5, "c": 0.4}
         started = plan.take_ready(lambda stage: seconds[stage.service])
@@ -81,7 +81,7 @@
         started = plan.take_ready(lambda stage: seconds[stage.service])
         self.assertEqual([start.index for start in started], [0, 2])
 
-    def test_results_are_spent_once_every_piece_that_needs_them_has_read_them(self) -> None:
+    def test_results_are_spent_once_all_dependent_pieces_have_read_them(self) -> None:
         stages = (Stage(service="a"), Stage(service="b", after=(0,)))
         plan = StagePlan(stages, (1, 2))
         plan.note(0, 0, "a")
@@ -91,7 +91,7 @@
         self.assertEqual(plan.spent_inputs(1), ("a",))
         self.assertFalse(plan.is_done())
 
-    def test_the_chain_that_follows_is_known(self) -> None:
+    def test_the_longest_chain_of_dependent_stages_is_found(self) -> None:
         plan = StagePlan(self.stages, (1, 1, 1, 1))
         self.assertEqual([stage.service for stage in plan.depth_after(1)], ["b", "c"])
         self.assertEqual(plan.depth_after(0), ())
--- a/packages/damsonlane/src/damsonlane/pools/tests/test_queue.py
+++ b/packages/damsonlane/src/damsonlane/pools/tests/test_queue.py
@@ -1,4 +1,4 @@
-"""Waiting pieces: which run next, which are told to come back, and how long others wait."""
+"""The queue of a pool: order, load shedding and wait estimates."""
 
 import unittest
 from dataclasses import replace
@@ -25,8 +25,8 @@
 )
 
 
-#: A piece that is due after all others.
-LIKE = replace(ORDER, aim_left_seconds=10.0)
+#: A piece whose latency objective is later than that of all others.
+LATEST = replace(ORDER, aim_left_seconds=10.0)
 
 
 def make_piece(
@@ -56,25 +56,25 @@
     def setUp(self) -> None:
         self.queue = PieceQueue()
 
-    def test_the_soonest_aim_comes_first(self) -> None:
+    def test_the_earliest_objective_goes_first(self) -> None:
         for number, aim_at in ((1, 3.0), (2, 1.0), (3, 2.0)):
             self.queue.add(make_piece(number, aim_at=aim_at))
         self.assertEqual(select(self.queue, limit=2), [2, 3])
         self.assertEqual(select(self.queue), [1])
 
-    def test_a_piece_that_misses_its_aim_lets_others_go_first(self) -> None:
+    def test_a_piece_that_misses_its_objective_goes_after_others(self) -> None:
         self.queue.add(make_piece(1, aim_at=0.1))
         self.queue.add(make_piece(2, aim_at=4.0))
         self.assertEqual(select(self.queue), [2, 1])
 
-    def test_a_late_piece_lets_all_go_first_that_can_be_in_aim(self) -> None:
+    def test_late_pieces_go_after_all_that_can_meet_their_objective(self) -> None:
         begun = replace(ORDER, number=1, inputs=("h",))
         self.queue.add(WaitingPiece(order=begun, sender="e1", due_at=99.0, aim_at=0.1))
         self.queue.add(make_piece(2, aim_at=90.0, due_at=99.0, rank=9))
         self.queue.add(make_piece(3, aim_at=0.05, due_at=99.0))
         self.assertEqual(select(self.queue), [2, 1, 3])
 
-    def test_rank_does_not_order_what_can_all_be_in_time(self) -> None:
+    def test_rank_does_not_affect_the_order_of_pieces_in_time(self) -> None:
         self.queue.add(make_piece(1, aim_at=2.0, rank=0))
         self.queue.add(make_piece(2, aim_at=1.0, rank=9))
         self.assertEqual(select(self.queue, limit=1), [2])
@@ -87,21 +87,21 @@
         self.assertEqual([piece.order.number for piece in selection.batch], [2])
         self.assertEqual([piece.order.number for piece in selection.late], [3, 1])
 
-    def test_late_pieces_are_dropped_before_they_cost(self) -> None:
+    def test_pieces_past_their_deadline_are_removed_before_they_run(self) -> None:
         self.queue.add(make_piece(1, due_at=0.2))
         self.queue.add(make_piece(2, due_at=0.3))
         selection = self.queue.select(0.0, OFFER)
         self.assertEqual([piece.order.number for piece in selection.late], [1])
         self.assertEqual([piece.order.number for piece in selection.batch], [2])
 
-    def test_what_would_miss_its_aim_behind_others_is_told_at_once(self) -> None:
+    def test_pieces_that_would_be_late_after_others_are_refused_at_once(self) -> None:
         for number in range(5):
             self.queue.add(make_piece(number, aim_at=0.3 + number / 100))
         selection = self.queue.select(0.0, replace(OFFER, batch=2, busy_seconds=(0.0, 0.0)))
         self.assertEqual([piece.order.number for piece in selection.batch], [0, 1])
         self.assertEqual([piece.order.number for piece in selection.late], [4])
 
-    def test_what_is_begun_and_late_is_given_up_while_its_caller_has_not_waited_long(self) -> None:
+    def test_begun_late_requests_are_abandoned_unless_their_caller_waited_long(self) -> None:
         begun = replace(ORDER, number=9, inputs=("h",))
         for give_up_until, late in ((0.5, [9]), (0.0, [])):
             with self.subTest(give_up_until=give_up_until):
@@ -114,11 +114,11 @@
                 self.assertEqual([piece.order.number for piece in selection.batch], [0, 1])
                 self.assertEqual([piece.order.number for piece in selection.late], late)
 
-    def test_what_is_late_is_told_while_no_target_takes_work(self) -> None:
+    def test_late_pieces_are_refused_while_no_target_is_usable(self) -> None:
         cases: tuple[tuple[str, int, float, list[int]], ...] = (
-            ("targets work, few wait", 1, 0.25, []),
-            ("none works, no time for a call", 0, 0.2, [1]),
-            ("none works, time for a call", 0, 0.35, []),
+            ("a usable target, few pieces wait", 1, 0.25, []),
+            ("no usable target, no time for a call", 0, 0.2, [1]),
+            ("no usable target, time for a call", 0, 0.35, []),
         )
         for name, targets, aim_at, expected in cases:
             with self.subTest(name):
@@ -128,7 +128,7 @@
                 self.assertEqual([piece.order.number for piece in late], expected)
                 self.assertEqual(len(queue), 1 - len(expected))
 
-    def test_a_request_whose_other_stages_are_made_is_not_refused_for_its_aim(self) -> None:
+    def test_a_request_with_computed_stages_is_not_refused_for_its_objective(self) -> None:
         for number in range(4):
             self.queue.add(make_piece(number, aim_at=9.0, due_at=20.0))
         for number, is_begun in ((8, True), (9, False)):
@@ -138,7 +138,7 @@
         self.assertEqual([piece.order.number for piece in selection.late], [9])
         self.assertEqual([piece.order.number for piece in selection.batch], [8])
 
-    def test_what_is_begun_is_finished_though_late(self) -> None:
+    def test_begun_requests_are_finished_even_if_late(self) -> None:
         for number in range(4):
             self.queue.add(make_piece(number, aim_at=0.1))
         begun = replace(ORDER, number=9, inputs=("h",))
@@ -147,27 +147,27 @@
         self.assertEqual([piece.order.number for piece in selection.batch], [9])
         self.assertEqual(len(selection.late), 4)
 
-    def test_pieces_run_beside_their_inputs_while_there_is_time(self) -> None:
+    def test_pieces_wait_for_a_target_near_their_inputs_while_there_is_time(self) -> None:
         cases = (
             ("inputs here", "dha", 9.0, True),
             ("inputs elsewhere, time to wait", "johar", 9.0, False),
             ("inputs elsewhere, no time to wait", "johar", 0.4, True),
-            ("inputs where no target works", "gulberg", 9.0, True),
+            ("inputs where no target is usable", "gulberg", 9.0, True),
             ("inputs where no target is free for long", "model-town", 9.0, True),
-            ("little to move", "", 9.0, True),
+            ("little data to transfer", "", 9.0, True),
         )
-        for name, home, aim_at, runs in cases:
+        for name, home, aim_at, is_run in cases:
             with self.subTest(name):
                 queue = PieceQueue()
                 order = replace(ORDER, home=home, inputs=("h",))
                 queue.add(WaitingPiece(order=order, sender="e1", due_at=20.0, aim_at=aim_at))
-                self.assertEqual(bool(select(queue)), runs)
+                self.assertEqual(bool(select(queue)), is_run)
 
-    def test_pieces_of_one_stage_go_together(self) -> None:
+    def test_pieces_of_one_stage_run_in_one_call(self) -> None:
         cases = (
-            ("the second stage does not fit whole", 5, 1000, 9.0, [1, 2, 3]),
+            ("the second stage does not fit completely", 5, 1000, 9.0, [1, 2, 3]),
             ("both fit", 6, 1000, 9.0, [1, 2, 3, 4, 5, 6]),
-            ("no room for the second one", 9, 55, 9.0, [1, 2, 3]),
+            ("too little memory for the second one", 9, 55, 9.0, [1, 2, 3]),
             ("no time to wait", 5, 1000, 0.4, [1, 2, 3, 4, 5]),
             ("too large for any call", 2, 1000, 9.0, [1, 2]),
         )
@@ -179,7 +179,7 @@
                     queue.add(WaitingPiece(order=order, sender="e1", due_at=20.0, aim_at=aim_at))
                 self.assertEqual(select(queue, limit=limit, room=room), expected)
 
-    def test_of_what_runs_at_once_a_target_takes_what_belongs_beside_it(self) -> None:
+    def test_a_target_prefers_local_pieces_among_those_that_run_at_once(self) -> None:
         for number, home in ((1, "johar"), (2, "dha"), (3, "johar"), (4, "dha")):
             order = replace(ORDER, number=number, request=f"r{number}", home=home)
             self.queue.add(WaitingPiece(order=order, sender="e1", due_at=20.0, aim_at=0.5))
@@ -189,25 +189,25 @@
         ]
         self.assertEqual(taken, [2, 1, 4])
 
-    def test_the_forecast_grows_with_what_more_urgent_pieces_took_lately(self) -> None:
+    def test_the_forecast_grows_with_recent_work_of_higher_priority(self) -> None:
         offer = replace(OFFER, batch=100)
         for number in range(100):
             self.queue.add(make_piece(number, aim_at=9.0, due_at=20.0))
         self.assertEqual(len(self.queue.select(0.0, offer).batch), 100)
         for number in range(100, 120):
             self.queue.add(make_piece(number, aim_at=9.0, due_at=20.0, rank=1))
-        usual = self.queue.forecast(0.0, offer, replace(LIKE, rank=0, aim_left_seconds=19.0))
-        after = self.queue.forecast(0.0, offer, replace(LIKE, rank=2, aim_left_seconds=19.0))
-        later = self.queue.forecast(60.0, offer, replace(LIKE, rank=2, aim_left_seconds=19.0))
+        usual = self.queue.forecast(0.0, offer, replace(LATEST, rank=0, aim_left_seconds=19.0))
+        after = self.queue.forecast(0.0, offer, replace(LATEST, rank=2, aim_left_seconds=19.0))
+        later = self.queue.forecast(60.0, offer, replace(LATEST, rank=2, aim_left_seconds=19.0))
         self.assertGreater(after, 1.5 * usual)
         self.assertEqual(later, 0.0)
 
-    def test_the_forecast_leaves_out_what_is_late(self) -> None:
+    def test_the_forecast_ignores_late_pieces(self) -> None:
         for number in range(20):
             self.queue.add(make_piece(number, aim_at=0.1 if number < 10 else 9.0))
-        self.assertAlmostEqual(self.queue.forecast(0.0, OFFER, LIKE), 0.3)
+        self.assertAlmostEqual(self.queue.forecast(0.0, OFFER, LATEST), 0.3)
 
-    def test_the_forecast_leaves_out_what_is_due_later(self) -> None:
+    def test_the_forecast_ignores_pieces_with_later_objectives(self) -> None:
         for number in range(20):
             self.queue.add(make_piece(number, aim_at=2.0 if number < 5 else 4.0))
         for aim_left, seconds in ((1.0, 0.0), (3.0, 0.15), (5.0, 0.6)):
@@ -215,22 +215,22 @@
                 like = replace(ORDER, aim_left_seconds=aim_left)
                 self.assertAlmostEqual(self.queue.forecast(0.0, OFFER, like), seconds)
 
-    def test_the_forecast_grows_with_the_pieces_waiting(self) -> None:
-        self.assertEqual(self.queue.forecast(0.0, OFFER, LIKE), 0.0)
+    def test_the_forecast_grows_with_the_queue(self) -> None:
+        self.assertEqual(self.queue.forecast(0.0, OFFER, LATEST), 0.0)
         for number in range(20):
             self.queue.add(make_piece(number))
-        self.assertAlmostEqual(self.queue.forecast(0.0, OFFER, LIKE), 0.6)
+        self.assertAlmostEqual(self.queue.forecast(0.0, OFFER, LATEST), 0.6)
         self.assertAlmostEqual(
-            self.queue.forecast(0.0, replace(OFFER, busy_seconds=(0.0, 0.0)), LIKE), 0.3
+            self.queue.forecast(0.0, replace(OFFER, busy_seconds=(0.0, 0.0)), LATEST), 0.3
         )
 
-    def test_a_batch_fits_the_room(self) -> None:
+    def test_a_batch_fits_the_free_result_memory(self) -> None:
         for number in range(4):
             self.queue.add(make_piece(number))
         self.assertEqual(len(select(self.queue, room=25)), 2)
 
-    def test_results_that_would_cost_inputs_are_reckoned_larger_than_told(self) -> None:
-        cases = (("of material", (), 3), ("of inputs", ("h",), 2))
+    def test_result_sizes_of_pieces_with_inputs_include_a_margin(self) -> None:
+        cases = (("without inputs", (), 3), ("with inputs", ("h",), 2))
         for name, inputs, expected in cases:
             with self.subTest(name):
                 queue = PieceQueue()
@@ -239,7 +239,7 @@
                     queue.add(replace(piece, order=replace(piece.order, inputs=inputs)))
                 self.assertEqual(len(select(queue, room=30)), expected)
 
-    def test_a_piece_is_queued_once(self) -> None:
+    def test_a_piece_is_queued_only_once(self) -> None:
         self.queue.add(make_piece(1))
         self.queue.add(make_piece(1, aim_at=0.0))
         self.assertEqual(select(self.queue), [1])
@@ -254,7 +254,7 @@
         self.queue.withdraw_all("e1")
         self.assertEqual(len(self.queue), 0)
 
-    def test_a_pool_that_yields_less_keeps_fewer_waiting(self) -> None:
+    def test_a_pool_with_lower_throughput_keeps_fewer_waiting(self) -> None:
         for share, late in ((1.0, []), (0.5, [3, 4])):
             with self.subTest(share=share):
                 queue = PieceQueue()
@@ -266,18 +266,16 @@
 
 
 class LimitedPoolTest(unittest.TestCase):
-    """Targets that take a call now and then, by the rates that they named.
+    """Targets with rate limits below their throughput.
 
-    In a run of the soak both targets of a pool named two calls a second, a third of what they
-    make.  That came to no whole piece at once, and the owner of the pool divided by it: each
-    order ended with "integer division or modulo by zero", callers got no answer, and the streams
-    of other entries to the owner broke with "Internal Server Error".
+    Guards against a division by zero where the limited targets of a pool together take less than
+    one piece within the time of a call.
     """
 
     def setUp(self) -> None:
         self.queue = PieceQueue()
 
-    def test_a_target_that_takes_a_call_gets_what_waits(self) -> None:
+    def test_a_free_target_gets_waiting_pieces_despite_its_rate_limit(self) -> None:
         self.queue.add(make_piece(1))
         for gap in (0.5, 5.0, 20.0):
             limited = replace(OFFER, batch=1, busy_seconds=(0.0,), gap_seconds=(gap,))
@@ -285,33 +283,33 @@
             self.assertEqual(len(selection.batch), 1)
             self.queue.add(make_piece(1))
 
-    def test_what_is_late_is_made_where_a_target_takes_a_call_now(self) -> None:
+    def test_late_pieces_run_where_a_target_is_free_now(self) -> None:
         self.queue.add(make_piece(1, aim_at=-1.0))
         limited = replace(OFFER, batch=1, busy_seconds=(0.0,), gap_seconds=(20.0,))
         selection = self.queue.select(0.0, limited)
         self.assertEqual((len(selection.batch), selection.late), (1, ()))
 
-    def test_what_comes_after_the_next_call_is_told_at_once(self) -> None:
+    def test_pieces_late_after_the_next_call_are_refused_at_once(self) -> None:
         for number in range(1, 4):
             self.queue.add(make_piece(number))
         limited = replace(OFFER, batch=1, busy_seconds=(0.1,), gap_seconds=(20.0,))
         self.assertEqual(len(self.queue.take_late(0.0, limited)), 2)
 
-    def test_what_can_wait_for_the_next_call_is_kept(self) -> None:
-        """It comes after more calls than the pool could make without the limit."""
+    def test_pieces_in_time_with_the_next_call_are_kept(self) -> None:
+        """The next call may lie beyond the planning horizon of a pool without rate limits."""
         self.queue.add(make_piece(1, aim_at=10.0, due_at=12.0))
         self.queue.add(make_piece(2, aim_at=3.0))
         limited = replace(OFFER, batch=1, busy_seconds=(6.0,), gap_seconds=(8.0,))
         late = self.queue.take_late(0.0, limited)
         self.assertEqual([piece.order.number for piece in late], [2])
 
-    def test_waits_are_reckoned_by_the_rate(self) -> None:
+    def test_wait_estimates_include_rate_limits(self) -> None:
         for number in range(1, 4):
             self.queue.add(make_piece(number))
-        free = replace(OFFER, batch=1, busy_seconds=(0.0, 0.0))
-        limited = replace(free, gap_seconds=(4.0, 0.0))
-        wait = self.queue.forecast(0.0, limited, LIKE)
-        self.assertGreater(wait, 1.5 * self.queue.forecast(0.0, free, LIKE))
+        unlimited = replace(OFFER, batch=1, busy_seconds=(0.0, 0.0))
+        limited = replace(unlimited, gap_seconds=(4.0, 0.0))
+        wait = self.queue.forecast(0.0, limited, LATEST)
+        self.assertGreater(wait, 1.5 * self.queue.forecast(0.0, unlimited, LATEST))
 
 
 if __name__ == "__main__":
