--- a/packages/damsonlane/src/damsonlane/placing/__init__.py
+++ b/packages/damsonlane/src/damsonlane/placing/__init__.py
@@ -1,6 +1,6 @@
 """Placing: which engine reads a prompt, decided at one place for the whole fleet."""
 
-from damsonlane.placing._book import EngineBook
+from damsonlane.placing._engine_table import EngineBook
 from damsonlane.placing._prompts import InputPlace, Placement, PromptOrder, PromptPart, PromptRead
 
 __all__ = [
--- a/packages/damsonlane/src/damsonlane/placing/_engine.py
+++ b/packages/damsonlane/src/damsonlane/placing/_engine.py
@@ -2,7 +2,7 @@
 
 from typing import Final
 
-from damsonlane.placing._kept import KeptParts
+from damsonlane.placing._prefix_cache import KeptParts
 
 #: Times the expected time from which on an engine counts as slow.
 SLOW: Final = 2.0
--- a/packages/damsonlane/src/damsonlane/placing/_book.py
+++ b/packages/damsonlane/src/damsonlane/placing/_engine_table.py
@@ -18,9 +18,9 @@
 from typing import Final
 
 from damsonlane.placing._engine import Engine
-from damsonlane.placing._moves import NO_MOVE, Move, plan_moves
-from damsonlane.placing._pace import BASE_SECONDS, ReadingPace
+from damsonlane.placing._prefill_pace import BASE_SECONDS, ReadingPace
 from damsonlane.placing._prompts import Placement, PromptOrder, PromptRead
+from damsonlane.placing._transfers import NO_MOVE, Move, plan_moves
 from damsonlane.routing import Place, rank_target
 
 #: What reading a shared part once more counts besides the time that it takes, as a
--- a/packages/damsonlane/src/damsonlane/placing/tests/replay.py
+++ b/packages/damsonlane/src/damsonlane/placing/tests/simulation.py
@@ -11,7 +11,7 @@
 from typing import Final
 
 from damsonlane.placing import EngineBook, Placement, PromptOrder, PromptPart, PromptRead
-from damsonlane.placing._kept import KeptParts
+from damsonlane.placing._prefix_cache import KeptParts
 from damsonlane.ratelimit import RateBucket
 from damsonlane.routing import Origin, Place, Standing, TargetBook
 
--- a/packages/damsonlane/src/damsonlane/placing/tests/test_placing.py
+++ b/packages/damsonlane/src/damsonlane/placing/tests/test_placement.py
@@ -11,8 +11,8 @@
     PromptPart,
     PromptRead,
 )
-from damsonlane.placing._kept import KEPT_SHARE, KeptParts
-from damsonlane.placing.tests.replay import Prompts, play_apart, play_together
+from damsonlane.placing._prefix_cache import KEPT_SHARE, KeptParts
+from damsonlane.placing.tests.simulation import Prompts, play_apart, play_together
 from damsonlane.routing import Place
 
 ENGINES = ("a", "b", "c")
