--- a/packages/damsonlane/src/damsonlane/placing/__init__.py
+++ b/packages/damsonlane/src/damsonlane/placing/__init__.py
@@ -1,4 +1,4 @@
-"""Placing: which engine reads a prompt, decided at one place for the whole fleet."""
+"""Placement: which engine prefills a prompt, decided by one owner for the whole fleet."""
 
 from damsonlane.placing._engine_table import EngineBook
 from damsonlane.placing._prompts import InputPlace, Placement, PromptOrder, PromptPart, PromptRead
--- a/packages/damsonlane/src/damsonlane/placing/_engine.py
+++ b/packages/damsonlane/src/damsonlane/placing/_engine.py
@@ -1,55 +1,55 @@
-"""What is known of one engine: what it keeps, what it was given to read, and its pace."""
+"""Estimated state of one engine: prefix cache, load and speed."""
 
 from typing import Final
 
-from damsonlane.placing._prefix_cache import KeptParts
+from damsonlane.placing._prefix_cache import PrefixCache
 
-#: Times the expected time from which on an engine counts as slow.
-SLOW: Final = 2.0
-#: Weight of a new sample in an engine's slowness.
+#: Ratio of measured to expected time from which an engine counts as slow.
+SLOW_RATIO: Final = 2.0
+#: Weight of a new sample in the moving average of the ratio.
 SLOWNESS_WEIGHT: Final = 0.3
-#: Seconds in which an unused engine's slowness goes half way back to normal.
+#: Half-life, in seconds, of the ratio's deviation from 1 while an engine is unused.
 SLOWNESS_HALF_LIFE: Final = 5.0
 
 
 class Engine:
-    """What is known of one engine; mutable.
+    """Estimated state of one engine; mutable.
 
     Args:
-        cache_tokens: tokens that its memory holds.
-        data_centre: where it stands.
-        start: its start.
+        cache_tokens: capacity of its memory, in tokens.
+        data_centre: its data centre.
+        start: its incarnation.
     """
 
     def __init__(self, cache_tokens: int, data_centre: str, start: int = 0) -> None:
         self.start: Final = start
         self.data_centre: Final = data_centre
-        self.kept: Final = KeptParts(cache_tokens)
-        #: When it has read all that it was given.
-        self.read_at = 0.0
-        #: When its link has moved all that it was asked to.
+        self.kept: Final = PrefixCache(cache_tokens)
+        #: When it will have prefilled all prompts placed at it.
+        self.prefilled_at = 0.0
+        #: When its link will have finished all planned transfers.
         self.link_free_at = 0.0
-        #: Until when it is left alone.
-        self.rests_until = 0.0
+        #: Until when it is ejected.
+        self.ejected_until = 0.0
         self._slowness = 1.0
-        self._measured_at = 0.0
+        self._updated_at = 0.0
 
     def find_slowness(self, now: float) -> float:
-        """Return how its times compare with those expected; 1 is the usual pace."""
-        fading = 0.5 ** (max(0.0, now - self._measured_at) / SLOWNESS_HALF_LIFE)
-        return float(1.0 + (self._slowness - 1.0) * fading)
+        """Return the moving average of the ratio of measured to expected times."""
+        decay = 0.5 ** (max(0.0, now - self._updated_at) / SLOWNESS_HALF_LIFE)
+        return float(1.0 + (self._slowness - 1.0) * decay)
 
     def wait_seconds(self, now: float) -> float:
-        """Return the seconds until it has read all that it was given."""
-        return max(0.0, self.read_at - now)
+        """Return the seconds until it will have prefilled all prompts placed at it."""
+        return max(0.0, self.prefilled_at - now)
 
-    def find_pace(self, now: float) -> float:
-        """Return by how much its times are longer; differences below `SLOW` are noise."""
+    def find_slow_factor(self, now: float) -> float:
+        """Return the factor by which its times are longer; ratios below `SLOW_RATIO` are noise."""
         slowness = self.find_slowness(now)
-        return slowness if slowness >= SLOW else 1.0
+        return slowness if slowness >= SLOW_RATIO else 1.0
 
-    def note_ratio(self, ratio: float, now: float) -> None:
-        """Note a time as a multiple of the expected one."""
+    def record_ratio(self, ratio: float, now: float) -> None:
+        """Record the ratio of a measured to the expected time."""
         known = self.find_slowness(now)
         self._slowness = known + SLOWNESS_WEIGHT * (ratio - known)
-        self._measured_at = now
+        self._updated_at = now
--- a/packages/damsonlane/src/damsonlane/placing/_engine_table.py
+++ b/packages/damsonlane/src/damsonlane/placing/_engine_table.py
@@ -1,15 +1,11 @@
-"""Choosing an engine for each prompt by the time to its first event.
-
-Answers a wave of long prompts, alone or while engines are lost.  Entries that choose by
-themselves see a sixth or less of what engines are given, so one engine holds seconds of
-prompts beside idle ones.  One entry that places all prompts of a service knows every
-prompt that is being read: first events after 0.5 s fall from 5.1 to 1.4 in 100, with two
-of six engines lost from 10.6 to 2.8 (replays in virtual time, ten seeds).
-
-Engines that can take from each other what they keep do so: a shared part is read once and
-moved for a tenth of the time.  Tokens read again fall from 11,500 to 1,500 and late first
-events from 1.4 to 0.6 in 100 (the same replays).  So a prompt may go to the engine that
-stands beside the results of its stages, wherever those were made.
+"""Selects an engine for each prompt by the expected time to its first event.
+
+One entry places all prompts of a service.  Entries that choose on their own see only their
+share of the load, so prompts queue at one engine while others are idle.
+
+Engines that can transfer cached prompt segments to each other do so, which is much faster than
+prefilling a segment again.  Thus a prompt can go to the engine that is near the results of its
+stages, wherever its segments are cached.
 """
 
 import functools
@@ -18,79 +14,79 @@
 from typing import Final
 
 from damsonlane.placing._engine import Engine
-from damsonlane.placing._prefill_pace import BASE_SECONDS, ReadingPace
+from damsonlane.placing._prefill_pace import BASE_SECONDS, PrefillPace
 from damsonlane.placing._prompts import Placement, PromptOrder, PromptRead
-from damsonlane.placing._transfers import NO_MOVE, Move, plan_moves
+from damsonlane.placing._transfers import NO_TRANSFER, Transfer, plan_transfers
 from damsonlane.routing import Place, rank_target
 
-#: What reading a shared part once more counts besides the time that it takes, as a
-#: multiple of that time: it is paid for, and takes memory from other parts.
-READ_AGAIN_WEIGHT: Final = 1.0
-#: Seconds that a byte of inputs counts which has to come from another data centre.  Links
-#: between them are paid for: a megabyte as much as reading 300 tokens once more.
-FAR_BYTE_SECONDS: Final = 0.016e-6
-#: What a new shared part counts at an engine with a rate limit, as a multiple of the time that
-#: reading it takes: others have to read it soon as well.  With more of it the engines without
-#: limits get so many prompts that first events are late.
-LIMITED_HOME_WEIGHT: Final = 0.5
-#: Seconds that an engine for prompts of another length counts in addition.
-OTHER_SIDE_SECONDS: Final = 0.2
-#: Seconds that a first event counts in addition if it is expected after its aim.
+#: Extra cost of prefilling a shared segment again, as a multiple of the time it takes: it costs
+#: money, and evicts other segments from the cache.
+RECOMPUTE_WEIGHT: Final = 1.0
+#: Cost of each byte of inputs that is transferred from another data centre, in seconds: links
+#: between data centres are paid for.
+REMOTE_BYTE_SECONDS: Final = 0.016e-6
+#: Extra cost of prefilling a new shared segment at an engine with a rate limit, as a multiple of
+#: the time it takes: other engines will soon have to prefill it as well.  A higher cost would
+#: overload the engines without rate limits.
+RATE_LIMITED_WEIGHT: Final = 0.5
+#: Extra cost of an engine that is meant for prompts of another length, in seconds.
+OTHER_LENGTH_SECONDS: Final = 0.2
+#: Extra cost of a first event expected after its latency objective, in seconds.
 LATE_SECONDS: Final = 1.0
-#: Seconds for which an engine that did not take a prompt is left alone.
-REST_SECONDS: Final = 1.0
-#: Placements that are remembered until their reading is told.
-MOST_PLACED: Final = 2_048
+#: Seconds for which an engine that did not take a prompt is ejected.
+EJECTION_SECONDS: Final = 1.0
+#: Maximum number of placements whose outcome is awaited; older ones are dropped.
+MAX_PENDING: Final = 2_048
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Placed:
-    """A prompt that was placed."""
+class _Pending:
+    """A placed prompt whose outcome is awaited."""
 
     #: Name of the engine.
     name: str
     #: The engine.
     engine: Engine
-    #: Tokens to be read until its first event, those of the prompts before it included.
+    #: Tokens to prefill until its first event, including those of the prompts before it.
     tokens: float
-    #: Seconds until then, as reckoned.
+    #: Expected seconds until its first event.
     seconds: float
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Option:
+class _Candidate:
     """An engine that a prompt could go to."""
 
-    #: Its name.
+    #: Name of the engine.
     name: str
-    #: Tokens that it would read.
-    unread: int
-    #: What it would take from another engine.
-    move: Move
-    #: What the prompt would cost there, in seconds.
+    #: Tokens that it would prefill.
+    uncached: int
+    #: Segments that it would fetch from another engine.
+    transfer: Transfer
+    #: Cost of the prompt there, in seconds.
     cost: float
 
 
 class EngineBook:
-    """Engines of one service with the prompts that each was given.
+    """Engines of one service with the prompts that are placed at each.
 
     Args:
-        cache_tokens: tokens that an engine's memory holds.
-        move_pace: seconds in which an engine takes a token from another one; None where
-            engines can't.
+        cache_tokens: capacity of the memory of an engine, in tokens.
+        transfer_pace: seconds per token of a transfer between engines; None if they cannot
+            transfer segments.
     """
 
-    def __init__(self, cache_tokens: int, move_pace: float | None = None) -> None:
+    def __init__(self, cache_tokens: int, transfer_pace: float | None = None) -> None:
         self._cache_tokens: Final = cache_tokens
-        self._move_pace: Final = move_pace
+        self._transfer_pace: Final = transfer_pace
         self._engines: dict[str, Engine] = {}
-        self._pace: Final = ReadingPace()
-        self._placed: dict[tuple[str, int], _Placed] = {}
+        self._pace: Final = PrefillPace()
+        self._pending: dict[tuple[str, int], _Pending] = {}
 
     def update(self, places: Collection[Place]) -> None:
-        """Follow the engines that may be used; one that started again keeps nothing."""
-        for gone in set(self._engines) - {place.target for place in places}:
-            del self._engines[gone]
+        """Replace the usable engines; the cache of a restarted engine is empty."""
+        for removed in set(self._engines) - {place.target for place in places}:
+            del self._engines[removed]
         for place in places:
             known = self._engines.get(place.target)
             if known is None or known.start != place.start:
@@ -101,142 +97,156 @@
         self,
         sender: str,
         order: PromptOrder,
-        among: Collection[str],
+        preferred: Collection[str],
         now: float,
-        shut: Collection[str] = (),
-        limited: Collection[str] = (),
+        excluded: Collection[str] = (),
+        rate_limited: Collection[str] = (),
     ) -> Placement:
-        """Choose the engine for a prompt and count it as being read there.
+        """Choose the engine for a prompt and add the prompt to its load.
 
         Args:
-            sender: who asks.
+            sender: name of the sender.
             order: the prompt.
-            among: names of the engines for prompts of this length.
-            now: the time by the monotonic clock.
-            shut: names of engines that may get nothing at the moment.
-            limited: names of engines that take only some requests a second.
+            preferred: names of the engines for prompts of this length.
+            now: the monotonic clock, in seconds.
+            excluded: names of engines that must not get prompts at the moment.
+            rate_limited: names of engines with a rate limit.
 
         Returns:
-            The engine, and the one from which it should take parts of the prompt.
+            The engine, and the one from which it should fetch segments of the prompt.
         """
-        usable = self._find_usable(order, shut, now)
+        usable = self._find_usable(order, excluded, now)
         if not usable:
             return Placement(number=order.number, target="")
-        options = self._list_options(usable, order, among, limited, now)
-        chosen = min(options, key=lambda option: (option.cost, _rank(option.name, order)))
-        self._note_placed(sender, order, chosen, now)
-        return Placement(number=order.number, target=chosen.name, source=chosen.move.source)
+        candidates = self._list_candidates(usable, order, preferred, rate_limited, now)
+        chosen = min(
+            candidates, key=lambda candidate: (candidate.cost, _hash_rank(candidate.name, order))
+        )
+        self._record_placement(sender, order, chosen, now)
+        return Placement(number=order.number, target=chosen.name, source=chosen.transfer.source)
 
-    def _list_options(
+    def _list_candidates(
         self,
         usable: Mapping[str, Engine],
         order: PromptOrder,
-        among: Collection[str],
-        limited: Collection[str],
+        preferred: Collection[str],
+        rate_limited: Collection[str],
         now: float,
-    ) -> Sequence[_Option]:
-        """Return what a prompt would cost at each engine."""
-        kept = {name: engine.kept.count_kept(order.shared) for name, engine in usable.items()}
-        moves = self._plan_moves(usable, order, kept, now)
-        owner = self._find_owner(order, kept, among)
-        options: list[_Option] = []
+    ) -> Sequence[_Candidate]:
+        """Return the usable engines with the cost of a prompt at each."""
+        cached = {name: engine.kept.count_kept(order.shared) for name, engine in usable.items()}
+        transfers = self._plan_transfers(usable, order, cached, now)
+        home = self._find_home(order, cached, preferred)
+        candidates: list[_Candidate] = []
         for name, engine in usable.items():
-            move = moves[name]
-            unread = order.tokens - kept[name] - move.tokens
-            counted = order.tokens - order.shared_tokens if name == owner else unread
-            cost = self._reckon_cost(engine, order, counted, move, now)
-            if name not in among:
-                cost += OTHER_SIDE_SECONDS
-            if name in limited:
-                # What it reads of the shared parts serves few of the prompts that follow.
-                new = max(0, order.shared_tokens - kept[name])
-                cost += LIMITED_HOME_WEIGHT * self._pace.seconds(new)
-            options.append(_Option(name=name, unread=unread, move=move, cost=cost))
-        return options
-
-    def _find_owner(
-        self, order: PromptOrder, kept: Mapping[str, int], among: Collection[str]
+            transfer = transfers[name]
+            uncached = order.tokens - cached[name] - transfer.tokens
+            charged = order.tokens - order.shared_tokens if name == home else uncached
+            cost = self._estimate_cost(engine, order, charged, transfer, now)
+            if name not in preferred:
+                cost += OTHER_LENGTH_SECONDS
+            if name in rate_limited:
+                # Few of the following prompts can use the segments that it prefills.
+                new = max(0, order.shared_tokens - cached[name])
+                cost += RATE_LIMITED_WEIGHT * self._pace.seconds(new)
+            candidates.append(
+                _Candidate(name=name, uncached=uncached, transfer=transfer, cost=cost)
+            )
+        return candidates
+
+    def _find_home(
+        self, order: PromptOrder, cached: Mapping[str, int], preferred: Collection[str]
     ) -> str:
-        """Return the engine that should read shared parts which nobody keeps; empty for any.
+        """Return the engine that should prefill shared segments not cached anywhere; or empty.
 
-        It is the one that they hash to, unless others can take them from any engine.
+        It is chosen by rendezvous hashing.  If engines can transfer segments, any will do.
         """
-        if self._move_pace is not None or any(kept.values()):
+        if self._transfer_pace is not None or any(cached.values()):
             return ""
-        return min(kept, key=lambda name: (name not in among, _rank(name, order)))
+        return min(cached, key=lambda name: (name not in preferred, _hash_rank(name, order)))
 
-    def note_read(self, sender: str, read: PromptRead, now: float) -> None:
-        """Take what became of a prompt."""
-        placed = self._placed.pop((sender, read.number), None)
-        if placed is None or self._engines.get(placed.name) is not placed.engine:
+    def note_read(self, sender: str, outcome: PromptRead, now: float) -> None:
+        """Record the outcome of a placed prompt."""
+        pending = self._pending.pop((sender, outcome.number), None)
+        if pending is None or self._engines.get(pending.name) is not pending.engine:
             return
-        engine = placed.engine
-        if read.seconds is None:
-            engine.rests_until = now + REST_SECONDS
+        engine = pending.engine
+        if outcome.seconds is None:
+            engine.ejected_until = now + EJECTION_SECONDS
             engine.kept.clear()
             return
-        self._pace.note(placed.tokens, read.seconds)
-        engine.note_ratio(read.seconds / placed.seconds, now)
+        self._pace.record(pending.tokens, outcome.seconds)
+        engine.record_ratio(outcome.seconds / pending.seconds, now)
 
     def _find_usable(
-        self, order: PromptOrder, shut: Collection[str], now: float
+        self, order: PromptOrder, excluded: Collection[str], now: float
     ) -> Mapping[str, Engine]:
-        """Return the engines that may get a prompt, resting ones only where no other is left."""
-        barred = {*order.avoid, *shut}
-        known = {n: e for n, e in self._engines.items() if n not in barred}
-        return {n: e for n, e in known.items() if e.rests_until <= now} or known
-
-    def _plan_moves(
-        self, usable: Mapping[str, Engine], order: PromptOrder, kept: Mapping[str, int], now: float
-    ) -> Mapping[str, Move]:
-        """Return what each engine would take from another one."""
-        if self._move_pace is None:
-            return dict.fromkeys(usable, NO_MOVE)
-        return plan_moves(usable, order, kept, self._move_pace, now)
-
-    def _reckon_cost(
-        self, engine: Engine, order: PromptOrder, unread: int, move: Move, now: float
+        """Return the engines that may get a prompt; ejected ones only if no other is left."""
+        unusable = {*order.avoid, *excluded}
+        known = {n: e for n, e in self._engines.items() if n not in unusable}
+        return {n: e for n, e in known.items() if e.ejected_until <= now} or known
+
+    def _plan_transfers(
+        self,
+        usable: Mapping[str, Engine],
+        order: PromptOrder,
+        cached: Mapping[str, int],
+        now: float,
+    ) -> Mapping[str, Transfer]:
+        """Return what each engine would fetch from another one."""
+        if self._transfer_pace is None:
+            return dict.fromkeys(usable, NO_TRANSFER)
+        return plan_transfers(usable, order, cached, self._transfer_pace, now)
+
+    def _estimate_cost(
+        self, engine: Engine, order: PromptOrder, uncached: int, transfer: Transfer, now: float
     ) -> float:
-        """Return what a prompt would cost, in seconds, at an engine that reads some tokens."""
-        wait = max(engine.wait_seconds(now), move.done_at - now)
-        own = self._pace.seconds(unread)
-        first_event = (wait + own) * engine.find_pace(now) + BASE_SECONDS
-        shared = unread - (order.tokens - order.shared_tokens)
-        again = READ_AGAIN_WEIGHT * self._pace.seconds(shared)
+        """Return the cost of a prompt at an engine that prefills some of its tokens, in seconds."""
+        wait = max(engine.wait_seconds(now), transfer.done_at - now)
+        prefill = self._pace.seconds(uncached)
+        first_event = (wait + prefill) * engine.find_slow_factor(now) + BASE_SECONDS
+        shared = uncached - (order.tokens - order.shared_tokens)
+        recompute = RECOMPUTE_WEIGHT * self._pace.seconds(shared)
         late = LATE_SECONDS if first_event > order.aim_left_seconds else 0.0
-        return first_event + again + late + _count_far(engine, order) * FAR_BYTE_SECONDS
+        return (
+            first_event
+            + recompute
+            + late
+            + _count_remote_bytes(engine, order) * REMOTE_BYTE_SECONDS
+        )
 
-    def _note_placed(self, sender: str, order: PromptOrder, chosen: _Option, now: float) -> None:
+    def _record_placement(
+        self, sender: str, order: PromptOrder, chosen: _Candidate, now: float
+    ) -> None:
         engine = self._engines[chosen.name]
-        move = chosen.move
-        wait = max(engine.wait_seconds(now), move.done_at - now)
-        own = self._pace.seconds(chosen.unread)
-        engine.read_at = now + engine.wait_seconds(now) + own
-        engine.kept.note(order.shared, now + wait + own)
-        if move.source:
-            engine.link_free_at = move.done_at
-            self._engines[move.source].link_free_at = move.done_at
+        transfer = chosen.transfer
+        wait = max(engine.wait_seconds(now), transfer.done_at - now)
+        prefill = self._pace.seconds(chosen.uncached)
+        engine.prefilled_at = now + engine.wait_seconds(now) + prefill
+        engine.kept.add(order.shared, now + wait + prefill)
+        if transfer.source:
+            engine.link_free_at = transfer.done_at
+            self._engines[transfer.source].link_free_at = transfer.done_at
         ahead = wait / max(1e-9, self._pace.seconds(1.0))
-        self._placed[(sender, order.number)] = _Placed(
+        self._pending[(sender, order.number)] = _Pending(
             name=chosen.name,
             engine=engine,
-            tokens=chosen.unread + ahead,
-            seconds=BASE_SECONDS + wait + own,
+            tokens=chosen.uncached + ahead,
+            seconds=BASE_SECONDS + wait + prefill,
         )
-        if len(self._placed) > MOST_PLACED:
-            del self._placed[next(iter(self._placed))]
+        if len(self._pending) > MAX_PENDING:
+            del self._pending[next(iter(self._pending))]
 
 
-def _count_far(engine: Engine, order: PromptOrder) -> int:
-    """Return the bytes of a prompt's inputs that lie in other data centres."""
+def _count_remote_bytes(engine: Engine, order: PromptOrder) -> int:
+    """Return the bytes of a prompt's inputs that are stored in other data centres."""
     return sum(place.size for place in order.inputs if place.data_centre != engine.data_centre)
 
 
-def _rank(name: str, order: PromptOrder) -> bytes:
-    """Return the rank of an engine for a prompt by rendezvous hashing; the least owns it."""
-    return _rank_prefix(name, order.shared[-1].identity if order.shared else "")
+def _hash_rank(name: str, order: PromptOrder) -> bytes:
+    """Return the rank of an engine for a prompt by rendezvous hashing; the least wins."""
+    return _hash_prefix(name, order.shared[-1].identity if order.shared else "")
 
 
-#: Hashes of an engine and a prefix: 45 engines and 700 prefixes fit, and hashing took
-#: most of the time of a placement.
-_rank_prefix: Final = functools.lru_cache(maxsize=32_768)(rank_target)
+#: Cached ranks of an engine for a prefix: hashing would take most of the time of a placement.
+_hash_prefix: Final = functools.lru_cache(maxsize=32_768)(rank_target)
--- a/packages/damsonlane/src/damsonlane/placing/_prefix_cache.py
+++ b/packages/damsonlane/src/damsonlane/placing/_prefix_cache.py
@@ -1,4 +1,4 @@
-"""Parts of prompts that an engine probably still keeps in its memory."""
+"""Estimate of the prefix cache of an engine."""
 
 from collections import OrderedDict
 from collections.abc import Sequence
@@ -6,60 +6,60 @@
 
 from damsonlane.placing._prompts import PromptPart
 
-#: Share of an engine's memory that is reckoned to keep parts; the rest is for the
+#: Share of an engine's memory that is assumed to hold cached segments; the rest is used by the
 #: prompts and answers of running requests.
-KEPT_SHARE: Final = 0.7
+CACHE_SHARE: Final = 0.7
 
 
-class KeptParts:
-    """Parts that one engine has read, those unused for longest given up first.
+class PrefixCache:
+    """Prompt segments that an engine has probably cached, with LRU eviction.
 
     Args:
-        most_tokens: tokens that its memory holds.
+        memory_tokens: capacity of its memory, in tokens.
     """
 
-    def __init__(self, most_tokens: int) -> None:
-        self._most_tokens: Final = KEPT_SHARE * most_tokens
+    def __init__(self, memory_tokens: int) -> None:
+        self._capacity: Final = CACHE_SHARE * memory_tokens
         self._tokens: OrderedDict[str, int] = OrderedDict()
-        self._read_at: dict[str, float] = {}
+        self._prefilled_at: dict[str, float] = {}
         self._sum = 0
 
-    def count_kept(self, parts: Sequence[PromptPart]) -> int:
-        """Return the tokens of the leading parts that need not be read again."""
-        kept = 0
-        for part in parts:
-            if part.identity not in self._tokens:
+    def count_kept(self, segments: Sequence[PromptPart]) -> int:
+        """Return the tokens of the leading segments that are cached or being prefilled."""
+        cached = 0
+        for segment in segments:
+            if segment.identity not in self._tokens:
                 break
-            kept += part.tokens
-        return kept
+            cached += segment.tokens
+        return cached
 
-    def count_read(self, parts: Sequence[PromptPart], now: float) -> int:
-        """Return the tokens of the leading parts that have been read by now."""
-        read = 0
-        for part in parts:
-            if self._read_at.get(part.identity, float("inf")) > now:
+    def count_prefilled(self, segments: Sequence[PromptPart], now: float) -> int:
+        """Return the tokens of the leading segments that have been prefilled by now."""
+        prefilled = 0
+        for segment in segments:
+            if self._prefilled_at.get(segment.identity, float("inf")) > now:
                 break
-            read += part.tokens
-        return read
+            prefilled += segment.tokens
+        return prefilled
 
-    def note(self, parts: Sequence[PromptPart], read_at: float = 0.0) -> None:
-        """Note a prompt that the engine reads.
+    def add(self, segments: Sequence[PromptPart], prefilled_at: float = 0.0) -> None:
+        """Add the segments of a prompt that the engine prefills, evicting others if necessary.
 
         Args:
-            parts: its shared parts.
-            read_at: when they will have been read.
+            segments: its shared segments.
+            prefilled_at: when they will have been prefilled, by the monotonic clock.
         """
-        for part in parts:
-            self._sum += part.tokens - self._tokens.pop(part.identity, 0)
-            self._tokens[part.identity] = part.tokens
-            self._read_at.setdefault(part.identity, read_at)
-        while self._sum > self._most_tokens and self._tokens:
+        for segment in segments:
+            self._sum += segment.tokens - self._tokens.pop(segment.identity, 0)
+            self._tokens[segment.identity] = segment.tokens
+            self._prefilled_at.setdefault(segment.identity, prefilled_at)
+        while self._sum > self._capacity and self._tokens:
             identity, tokens = self._tokens.popitem(last=False)
             self._sum -= tokens
-            del self._read_at[identity]
+            del self._prefilled_at[identity]
 
     def clear(self) -> None:
-        """Forget everything, since the engine has started anew or may have."""
+        """Remove all segments, since the engine may have restarted."""
         self._tokens.clear()
-        self._read_at.clear()
+        self._prefilled_at.clear()
         self._sum = 0
--- a/packages/damsonlane/src/damsonlane/placing/_prompts.py
+++ b/packages/damsonlane/src/damsonlane/placing/_prompts.py
@@ -1,13 +1,13 @@
-"""Prompts as one box asks another where to send them."""
+"""Messages by which one box asks another to place its prompts."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, kw_only=True)
 class PromptPart:
-    """A part of a prompt that other requests share."""
+    """A segment of a prompt that other requests share."""
 
-    #: Identity of the part.
+    #: Identity of the segment.
     identity: str
     #: Its length, in tokens.
     tokens: int
@@ -15,9 +15,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class InputPlace:
-    """Results of stages that the engine must fetch before it reads the prompt."""
+    """Location of stage results that the engine must fetch before it prefills the prompt."""
 
-    #: Data centre in which they lie.
+    #: Data centre in which they are stored.
     data_centre: str
     #: Their size, in bytes.
     size: int
@@ -25,46 +25,46 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PromptOrder:
-    """A prompt that is to be placed at an engine."""
+    """A request to place a prompt at an engine."""
 
-    #: Chosen by the sender; the placement carries it back.
+    #: Number chosen by the sender; the placement repeats it.
     number: int
-    #: Parts that other requests share, in order.
+    #: Leading segments that other requests share, in order.
     shared: tuple[PromptPart, ...]
     #: Length of the whole prompt, in tokens.
     tokens: int
-    #: Seconds within which its first event keeps the request in aim; may be negative.
+    #: Seconds left until its first event misses the latency objective; may be negative.
     aim_left_seconds: float
     #: Names of engines that the sender can't use.
     avoid: tuple[str, ...] = ()
-    #: Where its inputs lie.
+    #: Locations of its inputs.
     inputs: tuple[InputPlace, ...] = ()
 
     @property
     def shared_tokens(self) -> int:
-        """Tokens of the parts that other requests share."""
+        """Number of tokens in the shared segments."""
         return sum(part.tokens for part in self.shared)
 
 
 @dataclass(frozen=True, kw_only=True)
 class Placement:
-    """The engine for a prompt."""
+    """The engine chosen for a prompt."""
 
-    #: Number of its order.
+    #: Number of the order.
     number: int
-    #: Name of the engine; empty when none may be used.
+    #: Name of the engine; empty if none can be used.
     target: str
-    #: Name of an engine that keeps more of the prompt, from which it should be taken;
-    #: empty for none.
+    #: Name of an engine that has cached more of the prompt, from which its segments should be
+    #: fetched; empty for none.
     source: str = ""
 
 
 @dataclass(frozen=True, kw_only=True)
 class PromptRead:
-    """What became of a prompt at the engine that it was placed at."""
+    """Outcome of a placed prompt."""
 
-    #: Number of its order.
+    #: Number of the order.
     number: int
-    #: Seconds from the sending of the request to the first event of its answer; None if
-    #: the engine did not take it.
+    #: Seconds from sending the request to the first event of its answer; None if the engine
+    #: did not accept it.
     seconds: float | None
--- a/packages/damsonlane/src/damsonlane/placing/_transfers.py
+++ b/packages/damsonlane/src/damsonlane/placing/_transfers.py
@@ -1,7 +1,7 @@
-"""Taking shared parts of a prompt from an engine that has read them.
+"""Plans transfers of cached prompt segments between engines.
 
-Answers a part that many prompts share while the engine that keeps it is busy, or stands far
-from their other inputs: moving it takes a tenth of the time that reading it once more does.
+If the engine that caches a segment is busy or far from the other inputs of a prompt, transferring
+the segment to another engine is much faster than prefilling it again.
 """
 
 from collections.abc import Mapping
@@ -11,53 +11,54 @@
 from damsonlane.placing._engine import Engine
 from damsonlane.placing._prompts import PromptOrder
 
-#: Fewest tokens that are moved: a move takes some milliseconds to begin, in which an engine
-#: reads about as many.
-LEAST_MOVED_TOKENS: Final = 64
+#: Minimum number of tokens that are transferred: starting a transfer takes about as long as
+#: prefilling as many.
+MIN_TRANSFER_TOKENS: Final = 64
 
 
 @dataclass(frozen=True, kw_only=True)
-class Move:
-    """Parts of a prompt that one engine would take from another."""
+class Transfer:
+    """Segments of a prompt that one engine would fetch from another."""
 
-    #: Name of the engine that has read them; empty for none.
+    #: Name of the engine that has them; empty for no transfer.
     source: str = ""
-    #: Tokens to move.
+    #: Tokens to transfer.
     tokens: int = 0
-    #: When they would be there, by the monotonic clock.
+    #: When the transfer would be complete, by the monotonic clock.
     done_at: float = 0.0
 
 
-#: What an engine does that keeps as much as any other.
-NO_MOVE: Final = Move()
+NO_TRANSFER: Final = Transfer()
 
 
-def plan_moves(
+def plan_transfers(
     engines: Mapping[str, Engine],
     order: PromptOrder,
-    kept: Mapping[str, int],
+    cached: Mapping[str, int],
     pace: float,
     now: float,
-) -> Mapping[str, Move]:
-    """Return what each engine would take from the one that has read most of a prompt.
+) -> Mapping[str, Transfer]:
+    """Return what each engine would fetch from the one that has prefilled most of a prompt.
 
     Args:
         engines: the engines, by name.
         order: the prompt.
-        kept: tokens of its shared parts that each engine keeps or is reading.
-        pace: seconds in which a link moves a token; links make one move after another.
-        now: the time by the monotonic clock.
+        cached: tokens of its shared segments that each engine has cached or is prefilling.
+        pace: seconds per token of a transfer; a link carries one transfer at a time.
+        now: the monotonic clock, in seconds.
     """
-    read = {name: engine.kept.count_read(order.shared, now) for name, engine in engines.items()}
-    # Two are enough: none takes from itself.
-    sources = sorted(engines, key=lambda name: -read[name])[:2]
-    moves: dict[str, Move] = {}
+    prefilled = {
+        name: engine.kept.count_prefilled(order.shared, now) for name, engine in engines.items()
+    }
+    # The best two suffice: an engine does not fetch from itself.
+    sources = sorted(engines, key=lambda name: -prefilled[name])[:2]
+    transfers: dict[str, Transfer] = {}
     for name, engine in engines.items():
         source = next((other for other in sources if other != name), "")
-        tokens = read.get(source, 0) - kept[name]
-        if tokens < LEAST_MOVED_TOKENS:
-            moves[name] = NO_MOVE
+        tokens = prefilled.get(source, 0) - cached[name]
+        if tokens < MIN_TRANSFER_TOKENS:
+            transfers[name] = NO_TRANSFER
             continue
         begins_at = max(now, engine.link_free_at, engines[source].link_free_at)
-        moves[name] = Move(source=source, tokens=tokens, done_at=begins_at + tokens * pace)
-    return moves
+        transfers[name] = Transfer(source=source, tokens=tokens, done_at=begins_at + tokens * pace)
+    return transfers
--- a/packages/damsonlane/src/damsonlane/placing/tests/simulation.py
+++ b/packages/damsonlane/src/damsonlane/placing/tests/simulation.py
@@ -1,7 +1,7 @@
-"""Prompts played against engines in virtual time: only the choice of an engine is real.
+"""Simulation of prompts and engines in virtual time; placement uses the real code.
 
-An engine reads all prompts that it was given side by side, each at an equal share of its
-speed, and keeps the shared parts that it has read.
+An engine prefills all its prompts concurrently, each at an equal share of its speed, and caches
+their shared segments.
 """
 
 import random
@@ -11,100 +11,100 @@
 from typing import Final
 
 from damsonlane.placing import EngineBook, Placement, PromptOrder, PromptPart, PromptRead
-from damsonlane.placing._prefix_cache import KeptParts
+from damsonlane.placing._prefix_cache import PrefixCache
 from damsonlane.ratelimit import RateBucket
 from damsonlane.routing import Origin, Place, Standing, TargetBook
 
-#: Tokens that an engine reads in a second.
+#: Prefill speed of an engine, in tokens per second.
 TOKENS_PER_SECOND: Final = 38_400
-#: Tokens that an engine's memory holds.
+#: Capacity of the memory of an engine, in tokens.
 CACHE_TOKENS: Final = 340_000
-#: Seconds of a step of the play.
+#: Time step of the simulation, in seconds.
 STEP_SECONDS: Final = 0.01
-#: Seconds within which a first event keeps its request in aim.
+#: Latency objective of first events, in seconds.
 AIM_SECONDS: Final = 0.5
 
-#: Chooses an engine: entry, order, time.
+#: Chooses an engine for an entry, a prompt and a time.
 Choose = Callable[[int, PromptOrder, float], Placement]
 
 
 @dataclass(frozen=True, kw_only=True)
-class Prompts:
-    """A load pattern of long prompts that share their first parts."""
+class PromptLoad:
+    """A load pattern of long prompts that share their first segments."""
 
-    #: Prompts a second, usually and in the wave.
+    #: Prompts per second, normally and during the load peak.
     rate: float = 5.8
-    wave_rate: float = 13.9
-    #: When the wave starts and ends, in seconds.
+    peak_rate: float = 13.9
+    #: Start and end of the load peak, in seconds.
     start: float = 2.0
     end: float = 8.0
-    #: Different shared parts, each about as likely.
+    #: Number of different shared segments, all equally likely.
     subjects: int = 91
-    #: Share of the prompts in the wave that have one subject.
+    #: Share of the prompts in the peak that have the same subject.
     hot_share: float = 0.0
-    #: Engines that are lost, with the time of the loss.
-    lost: tuple[tuple[str, float], ...] = ()
-    #: Engines that take only so many prompts a second.
-    limited: tuple[tuple[str, float], ...] = ()
+    #: Engines that crash, with the time of the crash.
+    crashed: tuple[tuple[str, float], ...] = ()
+    #: Rate limits of engines, in prompts per second.
+    rate_limits: tuple[tuple[str, float], ...] = ()
 
 
 @dataclass(kw_only=True)
-class _Reading:
+class _Prefill:
     entry: int
     order: PromptOrder
     sent_at: float
     left: float
 
 
-class EngineReplay:
-    """One play of a pattern.
+class EngineSimulation:
+    """One run of a load pattern.
 
     Args:
-        prompts: the pattern.
-        seed: draws prompts.
+        prompts: the load pattern.
+        seed: seed of the prompts.
         engines: names of the engines.
-        entries: number of entries that the prompts come to.
+        entries: number of entries that receive the prompts.
     """
 
     def __init__(
-        self, prompts: Prompts, seed: int, engines: Sequence[str] = "abcdef", entries: int = 6
+        self, prompts: PromptLoad, seed: int, engines: Sequence[str] = "abcdef", entries: int = 6
     ) -> None:
         self._prompts: Final = prompts
         self._random: Final = random.Random(seed)
         self._entries: Final = entries
         self.engines: Final = list(engines)
-        self._reading: Final[dict[str, list[_Reading]]] = {name: [] for name in engines}
-        self._kept: Final = {name: KeptParts(CACHE_TOKENS) for name in engines}
-        #: Seconds from sending to first event, of all prompts.
+        self._prefills: Final[dict[str, list[_Prefill]]] = {name: [] for name in engines}
+        self._caches: Final = {name: PrefixCache(CACHE_TOKENS) for name in engines}
+        #: Times from sending to first event of all prompts, in seconds.
         self.first_events: Final[list[float]] = []
-        #: Tokens of shared parts that were read though an engine kept them.
-        self.read_again = 0
+        #: Tokens of shared segments that were prefilled although an engine had cached them.
+        self.recomputed = 0
 
     def run(self, choose: Choose, note: Callable[[int, PromptRead, float], None]) -> None:
-        """Play to the end."""
+        """Run to the end."""
         number = 0
         now = 0.0
         while now < self._prompts.end + 2.0:
-            for name, lost_at in self._prompts.lost:
-                if name in self.engines and now >= lost_at:
+            for name, crashed_at in self._prompts.crashed:
+                if name in self.engines and now >= crashed_at:
                     self.engines.remove(name)
             if self._random.random() < self._find_rate(now) * STEP_SECONDS:
                 number += 1
                 order = self._draw(number, now)
                 entry = self._random.randrange(self._entries)
                 self._send(choose(entry, order, now), entry, order, now)
-            self._read(now, note)
+            self._prefill(now, note)
             now += STEP_SECONDS
 
-    def _is_wave(self, now: float) -> bool:
+    def _is_peak(self, now: float) -> bool:
         return self._prompts.start <= now < self._prompts.end
 
     def _find_rate(self, now: float) -> float:
-        return self._prompts.wave_rate if self._is_wave(now) else self._prompts.rate
+        return self._prompts.peak_rate if self._is_peak(now) else self._prompts.rate
 
     def _draw(self, number: int, now: float) -> PromptOrder:
         subject = self._random.randrange(self._prompts.subjects)
-        if self._is_wave(now) and self._random.random() < self._prompts.hot_share:
+        if self._is_peak(now) and self._random.random() < self._prompts.hot_share:
             subject = 0
         own = min(20_000, max(300, int(self._random.lognormvariate(7.6, 0.8))))
         shared = (
@@ -117,120 +117,125 @@
 
     def _send(self, placement: Placement, entry: int, order: PromptOrder, now: float) -> None:
         name = placement.target
-        kept = self._kept[name].count_kept(order.shared)
+        cached = self._caches[name].count_kept(order.shared)
         if placement.source:
-            # Moves take milliseconds, a tenth of reading at most; they count as none here.
-            kept = max(kept, self._kept[placement.source].count_kept(order.shared))
-        best = max(self._kept[other].count_kept(order.shared) for other in self.engines)
-        self.read_again += max(0, best - kept)
-        self._kept[name].note(order.shared)
-        self._reading[name].append(
-            _Reading(entry=entry, order=order, sent_at=now, left=order.tokens - kept)
+            # A transfer is assumed to take no time: it is much faster than the prefill.
+            cached = max(cached, self._caches[placement.source].count_kept(order.shared))
+        best = max(self._caches[other].count_kept(order.shared) for other in self.engines)
+        self.recomputed += max(0, best - cached)
+        self._caches[name].add(order.shared)
+        self._prefills[name].append(
+            _Prefill(entry=entry, order=order, sent_at=now, left=order.tokens - cached)
         )
 
-    def _read(self, now: float, note: Callable[[int, PromptRead, float], None]) -> None:
-        for name, readings in self._reading.items():
+    def _prefill(self, now: float, note: Callable[[int, PromptRead, float], None]) -> None:
+        for name, prefills in self._prefills.items():
             if name not in self.engines:
-                readings.clear()
-            for reading in readings:
-                reading.left -= TOKENS_PER_SECOND * STEP_SECONDS / len(readings)
-            for reading in [reading for reading in readings if reading.left <= 0]:
-                readings.remove(reading)
-                seconds = now - reading.sent_at + 0.02
+                prefills.clear()
+            for prefill in prefills:
+                prefill.left -= TOKENS_PER_SECOND * STEP_SECONDS / len(prefills)
+            for prefill in [prefill for prefill in prefills if prefill.left <= 0]:
+                prefills.remove(prefill)
+                seconds = now - prefill.sent_at + 0.02
                 self.first_events.append(seconds)
-                note(reading.entry, PromptRead(number=reading.order.number, seconds=seconds), now)
+                note(prefill.entry, PromptRead(number=prefill.order.number, seconds=seconds), now)
 
 
-def play_together(
-    prompts: Prompts,
+def simulate_central(
+    prompts: PromptLoad,
     seeds: int,
-    move_pace: float | None = None,
+    transfer_pace: float | None = None,
     *,
     weighs_limits: bool = True,
 ) -> tuple[float, float]:
-    """Return the late share and the tokens read again where one entry places all prompts.
+    """Return the late share and the recomputed tokens if one entry places all prompts.
 
     Args:
-        prompts: the pattern.
-        seeds: number of plays.
-        move_pace: seconds in which an engine takes a token from another one; None where
-            engines can't.
-        weighs_limits: whether the rate limits of engines count before they are used up.
+        prompts: the load pattern.
+        seeds: number of runs.
+        transfer_pace: seconds per token of a transfer between engines; None if they cannot
+            transfer segments.
+        weighs_limits: whether rate limits count before they are exhausted.
     """
-    limited = dict(prompts.limited)
+    rate_limits = dict(prompts.rate_limits)
     make = partial(
-        _TogetherChoice, move_pace=move_pace, limited=limited, weighs_limits=weighs_limits
+        _CentralChoice,
+        transfer_pace=transfer_pace,
+        rate_limits=rate_limits,
+        weighs_limits=weighs_limits,
     )
-    return _play(prompts, seeds, make)
+    return _simulate(prompts, seeds, make)
 
 
-def play_apart(prompts: Prompts, seeds: int) -> tuple[float, float]:
-    """Return the same where each entry chooses by the prefix and its own requests."""
-    return _play(prompts, seeds, _ApartChoice)
+def simulate_independent(prompts: PromptLoad, seeds: int) -> tuple[float, float]:
+    """Return the same if each entry chooses by prefix affinity and its own requests."""
+    return _simulate(prompts, seeds, _IndependentChoice)
 
 
-class _TogetherChoice:
+class _CentralChoice:
     def __init__(
         self,
-        replay: EngineReplay,
-        move_pace: float | None,
-        limited: dict[str, float],
+        simulation: EngineSimulation,
+        transfer_pace: float | None,
+        rate_limits: dict[str, float],
         *,
         weighs_limits: bool,
     ) -> None:
-        self._replay = replay
-        self._book = EngineBook(CACHE_TOKENS, move_pace)
-        self._buckets = {name: RateBucket(rate, 0.0) for name, rate in limited.items()}
+        self._simulation = simulation
+        self._table = EngineBook(CACHE_TOKENS, transfer_pace)
+        self._buckets = {name: RateBucket(rate, 0.0) for name, rate in rate_limits.items()}
         self._counted = self._buckets.keys() if weighs_limits else ()
 
     def choose(self, entry: int, order: PromptOrder, now: float) -> Placement:
-        self._book.update([Place(target=name, data_centre="") for name in self._replay.engines])
-        shut = [name for name, bucket in self._buckets.items() if bucket.wait_seconds(now) > 0]
-        placement = self._book.place(
-            f"e{entry}", order, self._replay.engines, now, shut, self._counted
+        self._table.update(
+            [Place(target=name, data_centre="") for name in self._simulation.engines]
+        )
+        exhausted = [name for name, bucket in self._buckets.items() if bucket.wait_seconds(now) > 0]
+        placement = self._table.place(
+            f"e{entry}", order, self._simulation.engines, now, exhausted, self._counted
         )
         if placement.target in self._buckets:
             self._buckets[placement.target].take(now)
         return placement
 
-    def note(self, entry: int, read: PromptRead, now: float) -> None:
-        self._book.note_read(f"e{entry}", read, now)
+    def note(self, entry: int, outcome: PromptRead, now: float) -> None:
+        self._table.note_read(f"e{entry}", outcome, now)
 
 
-class _ApartChoice:
-    def __init__(self, replay: EngineReplay) -> None:
-        self._replay = replay
+class _IndependentChoice:
+    def __init__(self, simulation: EngineSimulation) -> None:
+        self._simulation = simulation
         self._random = random.Random(1)
-        self._books = [TargetBook() for _ in range(6)]
+        self._tables = [TargetBook() for _ in range(6)]
         self._chosen: dict[int, str] = {}
 
     def choose(self, entry: int, order: PromptOrder, now: float) -> Placement:
-        names = self._replay.engines
-        self._books[entry].update({n: Standing(address=n, data_centre="x") for n in names})
+        names = self._simulation.engines
+        self._tables[entry].update({n: Standing(address=n, data_centre="x") for n in names})
         origin = Origin(data_centre="x", affinity=order.shared[-1].identity)
-        choice = self._books[entry].choose(
+        choice = self._tables[entry].choose(
             "prefix-affinity", origin, now=now, randomness=self._random
         )
         assert choice is not None
         self._chosen[order.number] = choice.target
         return Placement(number=order.number, target=choice.target)
 
-    def note(self, entry: int, read: PromptRead, now: float) -> None:
-        self._books[entry].finish(self._chosen[read.number], "good", now)
+    def note(self, entry: int, outcome: PromptRead, now: float) -> None:
+        self._tables[entry].finish(self._chosen[outcome.number], "good", now)
 
 
-def _play(
-    prompts: Prompts,
+def _simulate(
+    prompts: PromptLoad,
     seeds: int,
-    make_choice: Callable[[EngineReplay], _TogetherChoice | _ApartChoice],
+    make_choice: Callable[[EngineSimulation], _CentralChoice | _IndependentChoice],
 ) -> tuple[float, float]:
     times: list[float] = []
-    read_again = 0
+    recomputed = 0
     for seed in range(seeds):
-        replay = EngineReplay(prompts, seed)
-        choice = make_choice(replay)
-        replay.run(choice.choose, choice.note)
-        times.extend(replay.first_events)
-        read_again += replay.read_again
+        simulation = EngineSimulation(prompts, seed)
+        choice = make_choice(simulation)
+        simulation.run(choice.choose, choice.note)
+        times.extend(simulation.first_events)
+        recomputed += simulation.recomputed
     late = sum(seconds > AIM_SECONDS for seconds in times) / len(times)
-    return round(late, 3), read_again / seeds
+    return round(late, 3), recomputed / seeds
--- a/packages/damsonlane/src/damsonlane/placing/tests/test_placement.py
+++ b/packages/damsonlane/src/damsonlane/placing/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Which engine a prompt goes to, one by one and under load patterns."""
+"""Placement of prompts, for single prompts and under load patterns."""
 
 import unittest
 from dataclasses import replace
@@ -11,14 +11,14 @@
     PromptPart,
     PromptRead,
 )
-from damsonlane.placing._prefix_cache import KEPT_SHARE, KeptParts
-from damsonlane.placing.tests.simulation import Prompts, play_apart, play_together
+from damsonlane.placing._prefix_cache import CACHE_SHARE, PrefixCache
+from damsonlane.placing.tests.simulation import PromptLoad, simulate_central, simulate_independent
 from damsonlane.routing import Place
 
 ENGINES = ("a", "b", "c")
-#: Seconds in which an engine takes a token from another one: 160 KB over 260 Gbit/s.
-MOVE_PACE = 5e-6
-#: Plays of each pattern.
+#: Seconds per token of a transfer between engines: 160 KB over 260 Gbit/s.
+TRANSFER_PACE = 5e-6
+#: Number of runs of each pattern.
 SEEDS = 10
 
 
@@ -36,90 +36,90 @@
     )
 
 
-class EngineBookTest(unittest.TestCase):
+class EngineTableTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.book = EngineBook(300_000)
-        self.book.update([Place(target=name, data_centre="") for name in ENGINES])
+        self.table = EngineBook(300_000)
+        self.table.update([Place(target=name, data_centre="") for name in ENGINES])
 
     def place(self, order: PromptOrder, now: float = 0.0) -> str:
-        return self.book.place("e", order, ENGINES, now).target
+        return self.table.place("e", order, ENGINES, now).target
 
     def test_prompts_of_one_subject_go_to_one_engine_while_it_is_not_busy(self) -> None:
         chosen = {self.place(make_order(number), now=float(number)) for number in range(5)}
         self.assertEqual(len(chosen), 1)
 
-    def test_a_busy_engine_gives_way(self) -> None:
+    def test_a_busy_engine_is_avoided(self) -> None:
         chosen = [self.place(make_order(number, tokens=20_000)) for number in range(6)]
         self.assertGreater(len(set(chosen)), 1)
 
-    def test_engines_that_the_sender_cannot_use_are_left_out(self) -> None:
+    def test_engines_that_the_sender_cannot_use_are_excluded(self) -> None:
         first = self.place(make_order(1))
         self.assertNotEqual(self.place(make_order(2, avoid=(first,))), first)
         self.assertEqual(self.place(make_order(3, avoid=ENGINES)), "")
 
-    def test_an_engine_that_did_not_take_a_prompt_rests(self) -> None:
+    def test_an_engine_that_did_not_accept_a_prompt_is_ejected(self) -> None:
         first = self.place(make_order(1))
-        self.book.note_read("e", PromptRead(number=1, seconds=None), 0.1)
+        self.table.note_read("e", PromptRead(number=1, seconds=None), 0.1)
         self.assertNotEqual(self.place(make_order(2), now=0.2), first)
 
-    def test_a_slow_engine_gets_less(self) -> None:
+    def test_a_slow_engine_gets_fewer_prompts(self) -> None:
         first = self.place(make_order(0), now=0.0)
         for number in range(1, 9):
-            self.book.note_read("e", PromptRead(number=number - 1, seconds=4.0), float(number))
+            self.table.note_read("e", PromptRead(number=number - 1, seconds=4.0), float(number))
             if self.place(make_order(number), now=float(number)) != first:
                 return
-        self.fail("a slow engine went on getting all prompts of a subject")
+        self.fail("a slow engine still got all prompts of a subject")
 
-    def test_engines_for_other_lengths_take_what_would_wait_long(self) -> None:
+    def test_engines_for_other_lengths_take_prompts_that_would_wait_long(self) -> None:
         orders = [make_order(number, tokens=20_000) for number in range(4)]
-        chosen = [self.book.place("e", order, ("a",), 0.0).target for order in orders]
+        chosen = [self.table.place("e", order, ("a",), 0.0).target for order in orders]
         self.assertEqual(chosen[0], "a")
         self.assertGreater(len(set(chosen)), 1)
 
-    def test_without_engines_nothing_is_chosen(self) -> None:
-        self.book.update(())
+    def test_without_engines_none_is_chosen(self) -> None:
+        self.table.update(())
         self.assertEqual(self.place(make_order(1)), "")
 
-    def test_word_of_an_unknown_prompt_changes_nothing(self) -> None:
-        self.book.note_read("e", PromptRead(number=99, seconds=0.1), 0.0)
+    def test_the_outcome_of_an_unknown_prompt_is_ignored(self) -> None:
+        self.table.note_read("e", PromptRead(number=99, seconds=0.1), 0.0)
         self.assertIn(self.place(make_order(1)), ENGINES)
 
 
-class MoveTest(unittest.TestCase):
-    """Engines that take from each other what one of them keeps."""
+class TransferTest(unittest.TestCase):
+    """Engines that can transfer cached segments to each other."""
 
     def setUp(self) -> None:
-        self.book = EngineBook(300_000, MOVE_PACE)
-        self.book.update([Place(target=name, data_centre=name) for name in ENGINES])
+        self.table = EngineBook(300_000, TRANSFER_PACE)
+        self.table.update([Place(target=name, data_centre=name) for name in ENGINES])
 
     def place(self, order: PromptOrder, now: float = 0.0) -> Placement:
-        return self.book.place("e", order, ENGINES, now)
+        return self.table.place("e", order, ENGINES, now)
 
-    def test_another_engine_takes_shared_parts_from_the_one_that_keeps_them(self) -> None:
+    def test_an_engine_fetches_shared_segments_from_the_one_that_cached_them(self) -> None:
         first = self.place(make_order(1)).target
         other = next(name for name in ENGINES if name != first)
         inputs = (InputPlace(data_centre=other, size=40_000_000),)
         second = self.place(replace(make_order(2), inputs=inputs), now=5.0)
         self.assertEqual((second.target, second.source), (other, first))
 
-    def test_nothing_is_taken_that_is_not_read_yet(self) -> None:
+    def test_segments_not_prefilled_yet_are_not_fetched(self) -> None:
         first = self.place(make_order(1)).target
         other = next(name for name in ENGINES if name != first)
         inputs = (InputPlace(data_centre=other, size=40_000_000),)
         self.assertEqual(self.place(replace(make_order(2), inputs=inputs)).source, "")
 
-    def test_nothing_is_taken_by_the_engine_that_keeps_all(self) -> None:
+    def test_an_engine_with_all_segments_fetches_none(self) -> None:
         first = self.place(make_order(1)).target
-        again = self.place(make_order(2), now=5.0)
-        self.assertEqual((again.target, again.source), (first, ""))
+        second = self.place(make_order(2), now=5.0)
+        self.assertEqual((second.target, second.source), (first, ""))
 
-    def test_nothing_is_taken_where_engines_cannot(self) -> None:
-        book = EngineBook(300_000)
-        book.update([Place(target=name, data_centre=name) for name in ENGINES])
-        first = book.place("e", make_order(1), ENGINES, 0.0).target
-        self.assertEqual(book.place("e", make_order(2, avoid=(first,)), ENGINES, 5.0).source, "")
+    def test_without_transfers_no_segments_are_fetched(self) -> None:
+        table = EngineBook(300_000)
+        table.update([Place(target=name, data_centre=name) for name in ENGINES])
+        first = table.place("e", make_order(1), ENGINES, 0.0).target
+        self.assertEqual(table.place("e", make_order(2, avoid=(first,)), ENGINES, 5.0).source, "")
 
-    def test_of_several_that_keep_parts_the_one_that_has_read_most_gives_them(self) -> None:
+    def test_segments_are_fetched_from_the_engine_that_prefilled_most(self) -> None:
         half = replace(make_order(1), shared=make_order(1).shared[:1])
         some = self.place(half).target
         most = next(name for name in ENGINES if name != some)
@@ -129,70 +129,71 @@
             placed = self.place(replace(make_order(number), inputs=inputs), now=5.0 * number)
         self.assertEqual((placed.target, placed.source), (other, most))
 
-    def test_a_forgetful_engine_gives_nothing(self) -> None:
+    def test_no_segments_are_fetched_from_an_engine_that_may_have_restarted(self) -> None:
         first = self.place(make_order(1)).target
-        self.book.note_read("e", PromptRead(number=1, seconds=None), 1.0)
+        self.table.note_read("e", PromptRead(number=1, seconds=None), 1.0)
         self.assertEqual(self.place(make_order(2, avoid=(first,)), now=5.0).source, "")
 
-    def test_the_engine_beside_large_inputs_reads_the_prompt(self) -> None:
+    def test_a_prompt_goes_to_the_data_centre_of_its_large_inputs(self) -> None:
         for home in ENGINES:
             with self.subTest(home=home):
                 inputs = (InputPlace(data_centre=home, size=4_000_000),)
                 order = replace(make_order(9, subject=f"of {home}"), inputs=inputs)
                 self.assertEqual(self.place(order, now=20.0).target, home)
 
-    def test_a_wave_reads_less_again_and_starts_sooner_with_moves(self) -> None:
-        """Six engines, ten seeds: figures stand beside the constants of the book."""
-        late, again = play_together(Prompts(hot_share=0.3), 6)
-        late_moved, again_moved = play_together(Prompts(hot_share=0.3), 6, MOVE_PACE)
-        self.assertLess(again_moved, 0.7 * again)
-        self.assertLessEqual(late_moved, late)
+    def test_transfers_reduce_recomputation_and_late_first_events_in_a_peak(self) -> None:
+        late, recomputed_tokens = simulate_central(PromptLoad(hot_share=0.3), 6)
+        late_with_transfers, recomputed_with_transfers = simulate_central(
+            PromptLoad(hot_share=0.3), 6, TRANSFER_PACE
+        )
+        self.assertLess(recomputed_with_transfers, 0.7 * recomputed_tokens)
+        self.assertLessEqual(late_with_transfers, late)
 
 
-class KeptPartsTest(unittest.TestCase):
-    def test_a_part_counts_only_after_all_before_it(self) -> None:
-        kept = KeptParts(100_000)
+class PrefixCacheTest(unittest.TestCase):
+    def test_a_segment_counts_only_after_all_before_it(self) -> None:
+        cache = PrefixCache(100_000)
         one, two = (PromptPart(identity=name, tokens=10) for name in ("one", "two"))
-        kept.note((two,))
-        self.assertEqual(kept.count_kept((one, two)), 0)
-        kept.note((one,))
-        self.assertEqual(kept.count_kept((one, two)), 20)
+        cache.add((two,))
+        self.assertEqual(cache.count_kept((one, two)), 0)
+        cache.add((one,))
+        self.assertEqual(cache.count_kept((one, two)), 20)
 
-    def test_what_is_unused_for_longest_gives_way(self) -> None:
-        kept = KeptParts(int(30 / KEPT_SHARE) + 1)
+    def test_the_least_recently_used_segment_is_evicted(self) -> None:
+        cache = PrefixCache(int(30 / CACHE_SHARE) + 1)
         parts = [PromptPart(identity=f"{n}", tokens=10) for n in range(4)]
         for part in (*parts[:3], parts[0], parts[3]):
-            kept.note((part,))
-        self.assertEqual([kept.count_kept((part,)) for part in parts], [10, 0, 10, 10])
+            cache.add((part,))
+        self.assertEqual([cache.count_kept((part,)) for part in parts], [10, 0, 10, 10])
 
 
 class LoadPatternTest(unittest.TestCase):
-    """One entry that places all prompts, against entries that each choose by themselves."""
+    """Placement by one entry, compared with entries that each choose on their own."""
 
-    def test_a_wave_of_long_prompts(self) -> None:
-        self._compare(Prompts())
+    def test_a_peak_of_long_prompts(self) -> None:
+        self._compare(PromptLoad())
 
-    def test_a_wave_while_engines_are_lost(self) -> None:
-        self._compare(Prompts(lost=(("a", 2.0), ("b", 4.0))))
+    def test_a_peak_while_engines_crash(self) -> None:
+        self._compare(PromptLoad(crashed=(("a", 2.0), ("b", 4.0))))
 
-    def test_a_wave_of_one_subject(self) -> None:
-        self._compare(Prompts(hot_share=0.4))
+    def test_a_peak_of_one_subject(self) -> None:
+        self._compare(PromptLoad(hot_share=0.4))
 
-    def test_shared_parts_are_not_read_first_where_few_prompts_may_follow(self) -> None:
-        """Two of six engines take one prompt in two seconds each, and others read it all again."""
-        prompts = Prompts(limited=(("a", 0.5), ("b", 0.5)))
-        for move_pace in (None, 3e-6):
-            late, again = play_together(prompts, SEEDS, move_pace)
-            late_before, again_before = play_together(
-                prompts, SEEDS, move_pace, weighs_limits=False
+    def test_new_segments_are_not_prefilled_first_at_engines_with_low_rate_limits(self) -> None:
+        """Guards against recomputation: few following prompts can go to such an engine."""
+        prompts = PromptLoad(rate_limits=(("a", 0.5), ("b", 0.5)))
+        for transfer_pace in (None, 3e-6):
+            late, recomputed_tokens = simulate_central(prompts, SEEDS, transfer_pace)
+            late_unweighted, recomputed_unweighted = simulate_central(
+                prompts, SEEDS, transfer_pace, weighs_limits=False
             )
-            self.assertLess(again, 0.75 * again_before)
-            self.assertLessEqual(late, late_before + 0.005)
+            self.assertLess(recomputed_tokens, 0.75 * recomputed_unweighted)
+            self.assertLessEqual(late, late_unweighted + 0.005)
 
-    def _compare(self, prompts: Prompts) -> None:
-        late_apart, _ = play_apart(prompts, SEEDS)
-        late, _ = play_together(prompts, SEEDS)
-        self.assertLess(late, 0.6 * late_apart)
+    def _compare(self, prompts: PromptLoad) -> None:
+        late_independent, _ = simulate_independent(prompts, SEEDS)
+        late, _ = simulate_central(prompts, SEEDS)
+        self.assertLess(late, 0.6 * late_independent)
 
 
 if __name__ == "__main__":
