--- a/packages/damsonlane/src/damsonlane/admission/__init__.py
+++ b/packages/damsonlane/src/damsonlane/admission/__init__.py
@@ -1,6 +1,6 @@
 """Admission: who may enter, decided at once and without a queue."""
 
-from damsonlane.admission._caller_age import CallerAges
+from damsonlane.admission._caller_wait import CallerAges
 from damsonlane.admission._first_event import FirstEventForecast
 from damsonlane.admission._forecast import (
     ADMISSION_SHARE,
--- a/packages/damsonlane/src/damsonlane/admission/tests/test_caller_age.py
+++ b/packages/damsonlane/src/damsonlane/admission/tests/test_caller_wait.py
@@ -4,7 +4,7 @@
 import unittest
 
 from damsonlane.admission import CallerAges
-from damsonlane.admission._caller_age import LEAST_SEEN, REMEMBERED
+from damsonlane.admission._caller_wait import LEAST_SEEN, REMEMBERED
 
 
 class CallerAgesTest(unittest.TestCase):
