--- a/packages/damsonlane/src/damsonlane/admission/__init__.py
+++ b/packages/damsonlane/src/damsonlane/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Admission: who may enter, decided at once and without a queue."""
+"""Admission control: which requests may enter, decided at once and without a queue."""
 
 from damsonlane.admission._caller_wait import CallerAges
 from damsonlane.admission._first_event import FirstEventForecast
--- a/packages/damsonlane/src/damsonlane/admission/_limits.py
+++ b/packages/damsonlane/src/damsonlane/admission/_limits.py
@@ -1,33 +1,33 @@
-"""How many requests of each organisation may be in flight at once."""
+"""Limits of the requests in flight, shared among organisations."""
 
 from dataclasses import dataclass
 from typing import Final
 
 from damsonlane.settings import Lane
 
-#: Seconds for which an organisation's share is kept after it was last seen.
+#: Seconds after its last request for which an organisation still counts in the shares.
 ACTIVE_SECONDS: Final = 5.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class Entrant:
-    """A request that asks to be let in, and under which settings."""
+    """A request for admission, with the settings that apply to it."""
 
     #: The organisation.
     organisation: str
-    #: Its lane; lanes never wait for each other.
+    #: Its lane; each lane has a limit of its own.
     lane: Lane
-    #: Its weight among the organisations.
+    #: Weight of the organisation.
     weight: float
-    #: Most requests of the lane in flight at this entry.
+    #: Limit of requests of the lane in flight at this entry.
     limit: int
-    #: Most requests of the organisation in flight at this entry, over all lanes; 0 for no limit.
+    #: Limit of requests of the organisation in flight at this entry, over all lanes; 0 for none.
     own_limit: int = 0
 
 
 @dataclass
 class _Usage:
-    """What one organisation uses of one lane; mutable."""
+    """Usage of one lane by one organisation; mutable."""
 
     in_flight: int = 0
     weight: float = 1.0
@@ -35,20 +35,23 @@
 
 
 class InFlightLimits:
-    """Shares each lane among organisations by weight and lends what is unused.
+    """Shares the limit of each lane among organisations by weight.
 
-    An organisation within its share always enters.  Beyond it, it enters
-    while the lane as a whole has room, so an idle organisation's share is
-    lent out and is back as soon as it is asked for.  A lane may thus hold up
-    to twice its limit for a moment, never more.
+    An organisation below its share is always admitted.  Beyond its share it is admitted while the
+    lane as a whole is below its limit.  Thus unused shares can be borrowed, but are available to
+    their organisation at any time, and a lane may exceed its limit for a while, up to twice the
+    limit.
     """
 
     def __init__(self) -> None:
         self._lanes: dict[Lane, dict[str, _Usage]] = {}
 
     def try_enter(self, entrant: Entrant, now: float) -> bool:
-        """Let a request in, or not; whoever entered must `leave`."""
-        if 0 < entrant.own_limit <= self._own(entrant.organisation):
+        """Admit a request if the limits allow it; return whether.
+
+        Each admitted request must be followed by a call of `leave`.
+        """
+        if 0 < entrant.own_limit <= self._count_own(entrant.organisation):
             return False
         lane = self._lanes.setdefault(entrant.lane, {})
         usage = lane.setdefault(entrant.organisation, _Usage())
@@ -64,14 +67,14 @@
         return True
 
     def leave(self, entrant: Entrant) -> None:
-        """Let a request out."""
+        """Count an admitted request as completed."""
         self._lanes[entrant.lane][entrant.organisation].in_flight -= 1
 
     def in_flight(self) -> int:
-        """Return the requests inside, over all lanes."""
+        """Return the number of requests in flight over all lanes."""
         return sum(usage.in_flight for lane in self._lanes.values() for usage in lane.values())
 
-    def _own(self, organisation: str) -> int:
+    def _count_own(self, organisation: str) -> int:
         return sum(
             lane[organisation].in_flight for lane in self._lanes.values() if organisation in lane
         )
--- a/packages/damsonlane/src/damsonlane/admission/tests/test_limits.py
+++ b/packages/damsonlane/src/damsonlane/admission/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits in flight: shares are lent, come back, and never exceed their bounds."""
+"""Limits of requests in flight, and forecasts of the time of a stage."""
 
 import unittest
 
@@ -16,30 +16,30 @@
     )
 
 
-def _fill(limits: InFlightLimits, entrant: Entrant, tries: int, now: float = 0.0) -> int:
-    return sum(limits.try_enter(entrant, now) for _ in range(tries))
+def _fill(limits: InFlightLimits, entrant: Entrant, attempts: int, now: float = 0.0) -> int:
+    return sum(limits.try_enter(entrant, now) for _ in range(attempts))
 
 
-class GateTest(unittest.TestCase):
-    def test_one_alone_is_lent_everything(self) -> None:
+class InFlightLimitsTest(unittest.TestCase):
+    def test_a_single_organisation_may_use_the_whole_limit(self) -> None:
         self.assertEqual(_fill(InFlightLimits(), _entrant("a"), 20), 12)
 
-    def test_a_share_is_back_as_soon_as_it_is_asked_for(self) -> None:
+    def test_a_borrowed_share_is_available_at_once(self) -> None:
         limits = InFlightLimits()
         _fill(limits, _entrant("a"), 20)
         self.assertEqual(_fill(limits, _entrant("b", weight=2.0), 20), 8)
         self.assertEqual(_fill(limits, _entrant("a"), 20), 0)
 
-    def test_lanes_never_wait_for_each_other(self) -> None:
+    def test_lanes_are_independent(self) -> None:
         limits = InFlightLimits()
         _fill(limits, _entrant("a"), 20)
         lookup = Entrant(organisation="a", lane="lookup", weight=1, limit=3)
         self.assertEqual(_fill(limits, lookup, 9), 3)
 
-    def test_a_fleet_limit_binds_over_all_lanes(self) -> None:
+    def test_the_limit_of_an_organisation_applies_over_all_lanes(self) -> None:
         self.assertEqual(_fill(InFlightLimits(), _entrant("a", own_limit=5), 20), 5)
 
-    def test_who_leaves_makes_room(self) -> None:
+    def test_a_completed_request_makes_room_for_another(self) -> None:
         limits = InFlightLimits()
         entrant = _entrant("a")
         _fill(limits, entrant, 20)
@@ -70,17 +70,17 @@
 
 
 class ServiceMeterTest(unittest.TestCase):
-    def test_nothing_is_predicted_before_anything_is_known(self) -> None:
+    def test_the_forecast_is_zero_before_the_first_sample(self) -> None:
         self.assertEqual(ServiceMeter().predict(_WORK, 0.0), 0.0)
 
-    def test_a_calm_service_takes_its_usual_time(self) -> None:
+    def test_without_queueing_the_forecast_is_the_usual_time(self) -> None:
         meter = ServiceMeter()
         for number in range(50):
             meter.begin()
             meter.finish(_WORK, number * 0.1, 0.1)
         self.assertAlmostEqual(meter.predict(_WORK, 5.0), 0.1)
 
-    def test_a_queueing_service_takes_what_is_in_flight_over_what_ends(self) -> None:
+    def test_with_queueing_the_forecast_follows_littles_law(self) -> None:
         meter = ServiceMeter()
         meter.begin()
         meter.finish(_WORK, 0.0, 0.1)
@@ -90,8 +90,8 @@
             meter.finish(_WORK, 1.0 + number * 0.05, 1.0)
         self.assertAlmostEqual(meter.predict(_WORK, 1.95), 2.05, delta=0.25)
 
-    def test_an_idle_service_is_tried_again_after_any_queue(self) -> None:
-        """A forecast that only new answers could correct would refuse for ever."""
+    def test_the_forecast_recovers_while_the_service_is_idle(self) -> None:
+        """Guards against refusing forever because only new answers could correct the forecast."""
         meter = ServiceMeter()
         for number in range(50):
             meter.begin()
