--- a/packages/damsonlane/src/damsonlane/requests/__init__.py
+++ b/packages/damsonlane/src/damsonlane/requests/__init__.py
@@ -3,7 +3,7 @@
 from damsonlane.requests._budget import RetryBudget, WindowBudget
 from damsonlane.requests._effects import AskLedger, Effect, End, Send, Wait
 from damsonlane.requests._encoding import decode_answer, encode_answer
-from damsonlane.requests._parts import (
+from damsonlane.requests._models import (
     Answer,
     AttemptKey,
     AttemptResult,
@@ -17,7 +17,7 @@
     StagePlan,
     StageReport,
 )
-from damsonlane.requests._run import RequestRun
+from damsonlane.requests._state_machine import RequestRun
 
 __all__ = [
     "Answer",
--- a/packages/damsonlane/src/damsonlane/requests/_effects.py
+++ b/packages/damsonlane/src/damsonlane/requests/_effects.py
@@ -4,7 +4,7 @@
 from typing import Literal
 
 from damsonlane.ledger import JobCommand
-from damsonlane.requests._parts import AttemptKey, Billed, StagePlan
+from damsonlane.requests._models import AttemptKey, Billed, StagePlan
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/packages/damsonlane/src/damsonlane/requests/_encoding.py
+++ b/packages/damsonlane/src/damsonlane/requests/_encoding.py
@@ -1,7 +1,7 @@
 """Answers as text, for the ledger and for callers."""
 
 from damsonlane.codec import decode_bytes, encode_text
-from damsonlane.requests._parts import Answer
+from damsonlane.requests._models import Answer
 
 
 def encode_answer(answer: Answer) -> str:
--- a/packages/damsonlane/src/damsonlane/requests/_run.py
+++ b/packages/damsonlane/src/damsonlane/requests/_state_machine.py
@@ -8,7 +8,7 @@
 from damsonlane.requests._budget import RetryBudget
 from damsonlane.requests._effects import AskLedger, Effect, End, Send, Wait
 from damsonlane.requests._encoding import encode_answer
-from damsonlane.requests._parts import (
+from damsonlane.requests._models import (
     Answer,
     AttemptKey,
     AttemptResult,
