--- a/packages/damsonlane/src/damsonlane/requests/__init__.py
+++ b/packages/damsonlane/src/damsonlane/requests/__init__.py
@@ -1,4 +1,4 @@
-"""Requests: the way of one request from its caller to its ending."""
+"""Requests: the state machine of one request from arrival to outcome."""
 
 from damsonlane.requests._budget import RetryBudget, WindowBudget
 from damsonlane.requests._effects import AskLedger, Effect, End, Send, Wait
--- a/packages/damsonlane/src/damsonlane/requests/_budget.py
+++ b/packages/damsonlane/src/damsonlane/requests/_budget.py
@@ -1,40 +1,40 @@
-"""A budget that keeps retries to a share of first attempts."""
+"""Retry budgets: they limit retries to a share of first attempts."""
 
 from collections import deque
 from typing import Final
 
-#: Retries that may be made before any first attempt is counted.
+#: Retries in a new budget.
 INITIAL_RETRIES: Final = 3.0
-#: Most retries that can be saved up.
-LARGEST_SAVING: Final = 100.0
+#: Maximum number of retries in the budget.
+MAX_BALANCE: Final = 100.0
 
 
 class RetryBudget:
-    """Saves a share of each first attempt and spends one for each retry."""
+    """Adds a share of a retry for each first attempt and takes one for each retry."""
 
     def __init__(self) -> None:
-        self._saved = INITIAL_RETRIES
+        self._balance = INITIAL_RETRIES
 
     def count_first(self, share: float) -> None:
-        """Save ``share`` of a retry for a first attempt."""
-        self._saved = min(LARGEST_SAVING, self._saved + share)
+        """Add ``share`` of a retry for a first attempt."""
+        self._balance = min(MAX_BALANCE, self._balance + share)
 
     def try_spend(self) -> bool:
-        """Spend one retry, if one is saved."""
-        if self._saved < 1.0:
+        """Take one retry from the budget; return whether there was one."""
+        if self._balance < 1.0:
             return False
-        self._saved -= 1.0
+        self._balance -= 1.0
         return True
 
 
 class WindowBudget:
-    """Keeps what is sent again within a share of first sends in any window of time.
+    """Limits retries to a share of first attempts in any window of time.
 
-    It is one box's part of a budget of the whole fleet: its own first sends
-    count in full, and the slack is split among the boxes.
+    It is one box's part of a budget of the whole fleet: the first attempts of the box count in
+    full, and the slack is split among the boxes.
 
     Args:
-        share: requests sent again per first one.
+        share: retries allowed per first attempt.
         window: length of the window, in seconds.
     """
 
@@ -42,27 +42,27 @@
         self._share: Final = share
         self._window: Final = window
         self._firsts: deque[float] = deque()
-        self._repeats: deque[float] = deque()
+        self._retries: deque[float] = deque()
 
     def count_first(self, now: float) -> None:
-        """Count a first send."""
+        """Count a first attempt."""
         self._firsts.append(now)
-        self._forget(now)
+        self._remove_old(now)
 
     def try_spend(self, now: float, slack: float) -> bool:
-        """Spend one repeat if the window has room for it.
+        """Take one retry if the window allows it; return whether it does.
 
         Args:
             now: the monotonic clock, in seconds.
-            slack: repeats that this box may make besides its share.
+            slack: retries that this box may make in addition to its share.
         """
-        self._forget(now)
-        if len(self._repeats) + 1 > self._share * len(self._firsts) + slack:
+        self._remove_old(now)
+        if len(self._retries) + 1 > self._share * len(self._firsts) + slack:
             return False
-        self._repeats.append(now)
+        self._retries.append(now)
         return True
 
-    def _forget(self, now: float) -> None:
-        for times in (self._firsts, self._repeats):
+    def _remove_old(self, now: float) -> None:
+        for times in (self._firsts, self._retries):
             while times and times[0] <= now - self._window:
                 times.popleft()
--- a/packages/damsonlane/src/damsonlane/requests/_effects.py
+++ b/packages/damsonlane/src/damsonlane/requests/_effects.py
@@ -1,4 +1,4 @@
-"""What a request's run asks of the entry around it."""
+"""Effects that the state machine of a request has the entry carry out."""
 
 from dataclasses import dataclass
 from typing import Literal
@@ -12,15 +12,15 @@
     """Send one attempt to a target, then call `RequestRun.take_result`."""
 
     kind: Literal["send"] = "send"
-    #: Names the attempt.
+    #: Identity of the attempt.
     key: AttemptKey
     #: The stage, with the service to choose a target from.
     stage: StagePlan
     #: Input of the stage.
     text: str
-    #: Targets that failed this stage already.
+    #: Targets at which this stage failed already.
     avoid: tuple[str, ...]
-    #: Seconds that the attempt may take.
+    #: Time limit of the attempt, in seconds.
     seconds: float
     #: Whether it is the last stage, whose output may be streamed to the caller.
     is_last: bool
@@ -33,7 +33,7 @@
     kind: Literal["ask-ledger"] = "ask-ledger"
     #: The command.
     command: JobCommand
-    #: Seconds to wait at the most.
+    #: Timeout, in seconds.
     seconds: float
 
 
@@ -48,10 +48,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class End:
-    """The request has ended."""
+    """The request is complete."""
 
     kind: Literal["end"] = "end"
-    #: How, and at what cost.
+    #: The outcome and its cost.
     billed: Billed
 
 
--- a/packages/damsonlane/src/damsonlane/requests/_models.py
+++ b/packages/damsonlane/src/damsonlane/requests/_models.py
@@ -1,4 +1,4 @@
-"""What a request is, and how it may end."""
+"""Requests, attempts and outcomes."""
 
 from dataclasses import dataclass
 from typing import Literal
@@ -6,7 +6,7 @@
 from damsonlane.costs import CostLine
 from damsonlane.ledger import JobKey
 
-#: Whether anything of a refused request ran: surely not, or nobody can tell.
+#: Whether any part of a refused request ran: certainly not, or unknown.
 Run = Literal["no", "unknown"]
 
 #: Why a request was refused.
@@ -29,13 +29,13 @@
 
 @dataclass(frozen=True, kw_only=True)
 class StagePlan:
-    """One stage with the settings in force for it."""
+    """One stage with the settings that apply to it."""
 
     #: Name of the stage.
     name: str
     #: Service that runs it.
     service: str
-    #: Most attempts, the first included.
+    #: Maximum number of attempts, including the first.
     attempts: int
     #: Name of the routing policy.
     routing: str
@@ -45,37 +45,37 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Request:
-    """One request of a caller, checked and ready to run."""
+    """One validated request of a caller."""
 
-    #: Identity, unique for ever.
+    #: Identity; never reused.
     request: str
     #: Organisation of the caller.
     organisation: str
-    #: Its pipeline.
+    #: Pipeline of the organisation.
     pipeline: str
-    #: What is to be worked on.
+    #: Input of the first stage.
     text: str
-    #: When it must be answered, on the entry's monotonic clock, in seconds.
+    #: Deadline of the answer, by the monotonic clock of the entry, in seconds.
     due_at: float
-    #: The stages in order.
+    #: The stages, in order.
     stages: tuple[StagePlan, ...]
-    #: Name of the job when it must run at most once, else None.
+    #: Key of the job if the request must run at most once, else None.
     job: JobKey | None = None
-    #: SHA-256 digest of pipeline and body, for marked requests.
+    #: SHA-256 digest of pipeline and body, for requests with a job.
     digest: str = ""
-    #: Whether the caller says that the key was never sent before.
+    #: Whether the caller states that it never sent the key before.
     is_first_send: bool = False
 
 
 @dataclass(frozen=True, kw_only=True)
 class StageReport:
-    """How a stage went."""
+    """Report on a completed stage."""
 
     #: Name of the stage.
     name: str
     #: Target that answered.
     target: str
-    #: Attempts made.
+    #: Number of attempts.
     attempts: int
     #: Seconds from the first attempt to the answer.
     seconds: float
@@ -83,14 +83,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Answer:
-    """The whole answer."""
+    """A complete answer."""
 
     kind: Literal["answer"] = "answer"
     #: Request that is answered.
     request: str
     #: Output of the last stage.
     output: str
-    #: How each stage went.
+    #: Reports on the stages, in order.
     stages: tuple[StageReport, ...]
     #: Seconds left to the deadline.
     remaining: float
@@ -98,27 +98,27 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Refusal:
-    """An honest refusal."""
+    """A refusal."""
 
     kind: Literal["refusal"] = "refusal"
     #: Request that is refused.
     request: str
-    #: Why.
+    #: Reason of the refusal.
     reason: Reason
-    #: What a reader should know.
+    #: Explanation for people.
     detail: str
-    #: Whether anything ran.
+    #: Whether any part of the request ran.
     run: Run
-    #: Seconds after which it makes sense to come back; 0 when it makes none.
+    #: Seconds after which the caller may retry; 0 if it should not.
     retry_after: float = 0.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class Repeat:
-    """The answer kept from an earlier handling of the same job."""
+    """The answer that the ledger stores from an earlier handling of the same job."""
 
     kind: Literal["repeat"] = "repeat"
-    #: The kept answer, as it was encoded then.
+    #: The stored answer, encoded.
     answer: str
 
 
@@ -127,11 +127,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class AttemptKey:
-    """Names one attempt; an answer that names another is never used."""
+    """Identity of one attempt; an answer with another identity is never used."""
 
     #: The request.
     request: str
-    #: Organisation that owns it.
+    #: Organisation of the request.
     organisation: str
     #: Name of the stage.
     stage: str
@@ -141,32 +141,32 @@
 
 @dataclass(frozen=True, kw_only=True)
 class AttemptResult:
-    """What came of one attempt at a target."""
+    """Result of one attempt at a target."""
 
-    #: Attempt that the target says it answers; None when it said nothing.
+    #: Attempt that the target states it answers; None if it states none.
     answers: AttemptKey | None
-    #: How it went: answered whole; refused without running; failed, and may
-    #: have run; or never sent.
+    #: Completely answered; rejected without running; failed, so that it may have run; or never
+    #: sent.
     outcome: Literal["answered", "refused", "failed", "unsent"]
-    #: Output of the stage, when answered.
+    #: Output of the stage, if answered.
     output: str = ""
-    #: Tokens generated.
+    #: Number of generated tokens.
     tokens: int = 0
-    #: Whether the target said that it is leaving.
+    #: Whether the target announced that it is draining.
     is_leaving: bool = False
-    #: Whether a part of the output has reached the caller already.
+    #: Whether a part of the output was already sent to the caller.
     is_delivered: bool = False
-    #: What went wrong, in a few words without any content.
+    #: Short description of the failure, without content of the request.
     fault: str = ""
-    #: Seconds for which no target of the stage takes requests; 0 where one may.
+    #: Seconds for which all targets of the stage back off; 0 if any may take requests.
     retry_after: float = 0.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class Billed:
-    """An ending together with what it cost."""
+    """An outcome with its cost."""
 
-    #: The ending.
+    #: The outcome.
     ending: Ending
-    #: One line for each attempt.
+    #: One line for each billed attempt.
     costs: tuple[CostLine, ...]
--- a/packages/damsonlane/src/damsonlane/requests/_state_machine.py
+++ b/packages/damsonlane/src/damsonlane/requests/_state_machine.py
@@ -1,4 +1,4 @@
-"""The way of one request through its stages: a state machine."""
+"""The state machine of one request, from arrival through its stages to its outcome."""
 
 from collections.abc import Mapping
 from typing import Final
@@ -22,22 +22,22 @@
     StageReport,
 )
 
-#: Seconds before the second look at a job that another handling of it holds.
+#: First wait before claiming a job again that another handling holds, in seconds.
 FIRST_BUSY_WAIT: Final = 0.05
-#: Factor by which each further wait is longer: every look is a commit of control.
+#: Growth factor of further waits; every claim costs a commit of control.
 BUSY_WAIT_GROWTH: Final = 1.5
-#: Longest wait between two looks, in seconds.
-LONGEST_BUSY_WAIT: Final = 0.5
-#: Seconds that a claim may stand unstarted before another handling takes it over.
-CLAIM_PATIENCE: Final = 0.5
-#: Seconds that are kept back from the ledger for telling the caller.
+#: Longest of these waits, in seconds.
+MAX_BUSY_WAIT: Final = 0.5
+#: Seconds after which another handling takes over a claim that was not started.
+CLAIM_TIMEOUT: Final = 0.5
+#: Seconds before the deadline that are reserved for sending the answer to the caller.
 ANSWER_RESERVE: Final = 0.02
-#: Shortest time that an attempt is worth, in seconds.
-LEAST_ATTEMPT: Final = 0.005
-#: Seconds after which a caller may come back when no better guess exists.
+#: Least remaining time for an attempt, in seconds.
+MIN_ATTEMPT_SECONDS: Final = 0.005
+#: Seconds after which a refused caller may retry if no estimate exists.
 DEFAULT_RETRY_AFTER: Final = 1.0
 
-#: Reasons for giving up, by the outcome of the last attempt.
+#: Reason of a refusal by the outcome of the last attempt.
 _REASONS: Final[Mapping[str, Reason]] = {
     "answered": "target-failed",
     "failed": "target-failed",
@@ -47,13 +47,13 @@
 
 
 class RequestRun:
-    """Runs one request; each method returns the next effect to carry out.
+    """State machine of one request; each method returns the next effect to carry out.
 
     Args:
         request: the request.
-        token: token of this handling in the ledger, never used before.
-        wall_clock: seconds since 1970 at the start, for the ledger's horizon.
-        budget: retries allowed to this entry, shared by its requests.
+        token: token of this handling in the ledger; never reused.
+        wall_clock: Unix time at the start, in seconds, for the horizon of the ledger.
+        budget: retry budget of this entry, shared by its requests.
     """
 
     def __init__(
@@ -77,7 +77,7 @@
         self._busy_since: float | None = None
         self._busy_token = ""
         self._busy_wait = FIRST_BUSY_WAIT
-        self._pending: Refusal | None = None
+        self._pending_refusal: Refusal | None = None
         self._answer: Answer | None = None
 
     @property
@@ -86,7 +86,7 @@
         return self._request.job is not None
 
     def begin(self, now: float) -> Effect:
-        """Start: claim the job of a marked request, or send the first stage."""
+        """Claim the job if the request has one, or send the first stage."""
         if self._request.due_at <= now:
             return self._refuse("deadline-passed", "the deadline had passed on arrival")
         if self.is_marked:
@@ -94,31 +94,31 @@
         return self._send(now)
 
     def take_reply(self, now: float, reply: JobReply | None) -> Effect:
-        """Take the ledger's reply; None when it could not be had in time."""
-        if self._pending is not None:
-            return self._take_closing_reply(reply)
+        """Process the reply of the ledger; None if there was none in time."""
+        if self._pending_refusal is not None:
+            return self._take_drop_reply(reply)
         if self._is_started:
             return self._take_finish_reply()
         if reply is None:
-            return self._give_up_unconfirmed(now)
+            return self._refuse_unconfirmed(now)
         if reply.verdict == "done" and reply.phase == "claimed":
             return self._take_claim(now, reply)
         if reply.verdict == "done" and reply.phase == "started":
             self._is_started = True
             return self._send(now)
-        return self._take_other(now, reply)
+        return self._take_conflict(now, reply)
 
     def resume(self, now: float) -> Effect:
-        """Go on after a wait: look again at a job that was held by another handling."""
+        """Continue after a wait: claim the job again that another handling held."""
         return self._claim(now)
 
     def take_result(self, now: float, target: str, result: AttemptResult) -> Effect:
-        """Take what came of the last `Send`."""
+        """Process the result of the last `Send`."""
         outcome = result.outcome
         if outcome == "answered" and result.answers != self._key():
-            # An answer to something else tells nothing about this attempt.
+            # An answer to another attempt does not show the outcome of this one.
             outcome = "failed"
-        self._bill(now, target, result, outcome == "answered")
+        self._record_cost(now, target, result, outcome == "answered")
         if outcome in ("answered", "failed"):
             self._may_have_run = True
         if outcome == "answered":
@@ -126,14 +126,17 @@
         return self._recover(now, target, result)
 
     def give_up(self, now: float) -> Effect:
-        """End instead of carrying out the last `Send`, because its stages can't end in time."""
+        """Refuse the request, which cannot meet its deadline, instead of carrying out a `Send`."""
         return self._fail(now, "deadline", "the remaining stages can't end in time")
 
     def hold(self, now: float, detail: str) -> Effect:
-        """End instead of carrying out the last `Send`, because its targets would end."""
+        """Refuse the request instead of carrying out a `Send`.
+
+        It is quarantined, since it would make targets exit.
+        """
         return self._fail(now, "held", detail)
 
-    # Marked requests.
+    # Requests that must run at most once.
 
     def _claim(self, now: float) -> Effect:
         job = self._request.job
@@ -160,8 +163,8 @@
             command=StartJob(name=job, token=self._token), seconds=self._remaining(now)
         )
 
-    def _take_other(self, now: float, reply: JobReply) -> Effect:
-        """Deal with a job that this handling does not hold."""
+    def _take_conflict(self, now: float, reply: JobReply) -> Effect:
+        """Process a reply about a job that this handling does not hold."""
         if reply.verdict == "mismatch":
             detail = "the key was used before with another request"
             return self._refuse("key-mismatch", detail, "no")
@@ -177,13 +180,13 @@
         if self._busy_since is None or self._busy_token != reply.token:
             self._busy_since = now
             self._busy_token = reply.token
-        is_stale = now - self._busy_since >= CLAIM_PATIENCE
+        is_claim_stale = now - self._busy_since >= CLAIM_TIMEOUT
         if reply.phase == "started" and reply.is_holder_gone:
             detail = "the box that ran the job is gone, and how far it came is not known"
             return self._refuse("holder-gone", detail, "unknown")
-        is_stale = is_stale or reply.is_holder_gone
-        if reply.phase == "claimed" and is_stale and self._remaining(now) > 0:
-            # Once the drop is committed the holder cannot start, so taking over is safe.
+        is_claim_stale = is_claim_stale or reply.is_holder_gone
+        if reply.phase == "claimed" and is_claim_stale and self._remaining(now) > 0:
+            # Once the drop is committed, the holder cannot start the job, so taking over is safe.
             job = self._request.job
             assert job is not None
             command = DropJob(name=job, token=reply.token)
@@ -191,30 +194,33 @@
         wait = self._busy_wait
         if self._remaining(now) <= wait:
             return self._refuse("key-busy", "the same job is still running", "unknown")
-        self._busy_wait = min(LONGEST_BUSY_WAIT, wait * BUSY_WAIT_GROWTH)
+        self._busy_wait = min(MAX_BUSY_WAIT, wait * BUSY_WAIT_GROWTH)
         return Wait(seconds=wait)
 
-    def _give_up_unconfirmed(self, now: float) -> Effect:
+    def _refuse_unconfirmed(self, now: float) -> Effect:
         if self._busy_since is not None:
             return self._refuse("key-busy", "the same job is still running", "unknown")
         detail = "control could not confirm the job in time"
         return self._refuse("no-quorum", detail, self._unconfirmed_run())
 
     def _unconfirmed_run(self) -> Run:
-        """Say whether the job ran when this handling sent nothing and cannot ask the ledger.
+        """Return whether the job ran if this handling sent nothing and the ledger is unavailable.
 
         Only the caller knows whether an earlier handling of the key may have run.
         """
         return "no" if self._request.is_first_send or not self.is_marked else "unknown"
 
     def _take_finish_reply(self) -> Effect:
-        """End after the answer was offered to the ledger; the caller gets it either way."""
+        """Complete with the answer, whether or not the ledger has stored it."""
         assert self._answer is not None
         return self._end(self._answer)
 
-    def _take_closing_reply(self, reply: JobReply | None) -> Effect:
-        """End a started job of which nothing was sent, once the ledger says it was dropped."""
-        pending = self._pending
+    def _take_drop_reply(self, reply: JobReply | None) -> Effect:
+        """Refuse a started job of which nothing was sent.
+
+        Only if the ledger confirms the drop is it certain that the job did not run.
+        """
+        pending = self._pending_refusal
         assert pending is not None
         is_dropped = reply is not None and reply.verdict == "done" and reply.phase == "dropped"
         if is_dropped:
@@ -225,7 +231,7 @@
 
     def _send(self, now: float) -> Effect:
         remaining = self._remaining(now)
-        if remaining < LEAST_ATTEMPT:
+        if remaining < MIN_ATTEMPT_SECONDS:
             return self._fail(now, "deadline", "the deadline came before the last stage")
         if self._stage_attempts == 0:
             self._stage_began = now
@@ -278,11 +284,11 @@
             return self._end(answer)
         self._answer = answer
         command = FinishJob(name=job, token=self._token, answer=encode_answer(answer))
-        # The result exists and is whole: it is kept for resends for as long as the caller waits.
-        return AskLedger(command=command, seconds=max(LEAST_ATTEMPT, self._remaining(now)))
+        # The answer is complete: store it for retries of the caller, while the caller waits.
+        return AskLedger(command=command, seconds=max(MIN_ATTEMPT_SECONDS, self._remaining(now)))
 
     def _recover(self, now: float, target: str, result: AttemptResult) -> Effect:
-        """Retry elsewhere where that is safe and worth it, else give up."""
+        """Retry at another target if that is safe and allowed, else refuse the request."""
         self._avoid = (*self._avoid, target)
         reason: Reason = "leaving" if result.is_leaving else _REASONS[result.outcome]
         detail = f"stage '{self._request.stages[self._stage].name}': {result.fault}"
@@ -294,19 +300,21 @@
 
     def _may_retry(self, now: float, target: str) -> bool:
         has_attempts = self._stage_attempts < self._request.stages[self._stage].attempts
-        has_time = self._remaining(now) > LEAST_ATTEMPT
+        has_time = self._remaining(now) > MIN_ATTEMPT_SECONDS
         return bool(target) and has_attempts and has_time and self._budget.try_spend()
 
-    def _fail(self, now: float, reason: Reason, detail: str, known_wait: float = 0.0) -> Effect:
-        """Give up; ``known_wait`` is for how long no target takes requests, in seconds."""
-        wait = max(DEFAULT_RETRY_AFTER, known_wait)
+    def _fail(
+        self, now: float, reason: Reason, detail: str, backoff_seconds: float = 0.0
+    ) -> Effect:
+        """Refuse the request; ``backoff_seconds`` is how long all targets back off."""
+        wait = max(DEFAULT_RETRY_AFTER, backoff_seconds)
         if self._may_have_run:
             retry_after = 0.0 if self.is_marked else wait
             return self._refuse(reason, detail, "unknown", retry_after)
         job = self._request.job
         if job is None:
             return self._refuse(reason, detail, "no", wait)
-        self._pending = Refusal(
+        self._pending_refusal = Refusal(
             request=self._request.request,
             reason=reason,
             detail=detail,
@@ -314,9 +322,9 @@
             retry_after=wait,
         )
         command = DropJob(name=job, token=self._token, is_unsent=True)
-        return AskLedger(command=command, seconds=max(LEAST_ATTEMPT, self._remaining(now)))
+        return AskLedger(command=command, seconds=max(MIN_ATTEMPT_SECONDS, self._remaining(now)))
 
-    # Endings.
+    # Outcomes.
 
     def _remaining(self, now: float) -> float:
         return self._request.due_at - now - ANSWER_RESERVE
@@ -336,7 +344,9 @@
     def _end(self, ending: Ending) -> End:
         return End(billed=Billed(ending=ending, costs=tuple(self._costs)))
 
-    def _bill(self, now: float, target: str, result: AttemptResult, is_answered: bool) -> None:
+    def _record_cost(
+        self, now: float, target: str, result: AttemptResult, is_answered: bool
+    ) -> None:
         if result.outcome == "unsent" or not target:
             return
         outcome: AttemptOutcome = "answered" if is_answered else "failed"
--- a/packages/damsonlane/src/damsonlane/requests/tests/machine.py
+++ b/packages/damsonlane/src/damsonlane/requests/tests/machine.py
@@ -1,4 +1,4 @@
-"""The stateful machine that drives requests through targets and a ledger that fail."""
+"""Hypothesis state machine: requests with failing targets and a failing ledger."""
 
 from typing import Any
 
@@ -27,6 +27,7 @@
 )
 
 
+# Hypothesis derives the examples of derandomized tests from the source of this class.
 class RequestMachine(RuleBasedStateMachine):
     """Drives handlings; subclasses say which fault is planted."""
 
@@ -104,6 +105,6 @@
 
 
 def make_machine(planted: Fault) -> type[RequestMachine]:
-    """Return a machine with a planted fault."""
+    """Return a machine with an injected fault."""
     namespace: dict[str, Any] = {"fault": planted}
     return type(f"RequestMachineWith{planted.name.title()}", (RequestMachine,), namespace)
--- a/packages/damsonlane/src/damsonlane/requests/tests/session.py
+++ b/packages/damsonlane/src/damsonlane/requests/tests/session.py
@@ -1,4 +1,4 @@
-"""One session through the pure parts of an entry, with clock and identities injected."""
+"""Simulation of a session of two entries, with an injected clock and identities."""
 
 import heapq
 import itertools
@@ -29,7 +29,7 @@
 from damsonlane.routing import Choice, LoadReport, Origin, Standing, TargetBook
 from damsonlane.settings import Lane
 
-#: Seconds that a commit takes.
+#: Duration of a commit, in seconds.
 COMMIT_SECONDS = 0.002
 
 
@@ -41,11 +41,11 @@
     slots: int
     seconds_per_thousand: float
     base_seconds: float = 0.01
-    leaves_at: float = float("inf")
+    drains_at: float = float("inf")
     free_at: list[float] = field(default_factory=list)
 
     def work(self, now: float, text: str) -> float:
-        """Take a request and return when it ends."""
+        """Start a request and return when it completes."""
         self.free_at = [end for end in self.free_at if end > now]
         start = now if len(self.free_at) < self.slots else sorted(self.free_at)[-self.slots]
         end = start + self.base_seconds + self.seconds_per_thousand * len(text) / 1000
@@ -53,12 +53,12 @@
         return end
 
     def report(self, now: float) -> LoadReport:
-        """Return the load as the target sees it."""
+        """Return the load that the target reports."""
         return LoadReport(held=sum(1 for end in self.free_at if end > now), slots=self.slots)
 
 
 @dataclass(frozen=True)
-class Asked:
+class SessionRequest:
     """One request of a session."""
 
     at: float
@@ -72,7 +72,7 @@
 
 
 class FakeEntry:
-    """What one entry knows."""
+    """The state of one entry."""
 
     def __init__(self, services: dict[str, list[FakeTarget]]) -> None:
         self.books = {service: TargetBook() for service in services}
@@ -80,7 +80,7 @@
         self.limits = InFlightLimits()
         self.budget = RetryBudget()
         self.leaving: set[str] = set()
-        self.is_lost = False
+        self.is_crashed = False
         for service, targets in services.items():
             standings = {
                 target.name: Standing(address=f"127.0.0.1:{number}", data_centre="one")
@@ -90,7 +90,7 @@
 
 
 class Session:
-    """Runs requests in the order of an injected clock and writes down what happens."""
+    """Runs requests in virtual time and records a transcript."""
 
     def __init__(
         self, services: dict[str, list[FakeTarget]], pipelines: dict[str, list[str]]
@@ -107,12 +107,14 @@
         self._randomness = random.Random(7)
         self.lines: list[dict[str, Any]] = []
 
-    def run(self, asked: list[Asked], lost: dict[str, float] | None = None) -> dict[str, Any]:
-        """Run a session and return its whole transcript."""
+    def run(
+        self, asked: list[SessionRequest], crashes: dict[str, float] | None = None
+    ) -> dict[str, Any]:
+        """Run a session and return its transcript."""
         for request in asked:
-            self._at(request.at, lambda now, request=request: self._arrive(now, request))
-        for entry, at in (lost or {}).items():
-            self._at(at, lambda now, entry=entry: self._lose(now, entry))
+            self._push(request.at, lambda now, request=request: self._arrive(now, request))
+        for entry, at in (crashes or {}).items():
+            self._push(at, lambda now, entry=entry: self._crash(now, entry))
         while self._events:
             now, _, act = heapq.heappop(self._events)
             act(now)
@@ -123,14 +125,14 @@
             "costs": [asdict(total) for total in self._costs.totals()],
         }
 
-    def _at(self, moment: float, act: Callable[..., None]) -> None:
-        heapq.heappush(self._events, (moment, next(self._order), act))
+    def _push(self, at_time: float, act: Callable[..., None]) -> None:
+        heapq.heappush(self._events, (at_time, next(self._order), act))
 
-    def _lose(self, now: float, entry: str) -> None:
-        self._entries[entry].is_lost = True
-        self._write(now, entry, "lost", {})
+    def _crash(self, now: float, entry: str) -> None:
+        self._entries[entry].is_crashed = True
+        self._record(now, entry, "lost", {})
 
-    def _arrive(self, now: float, asked: Asked) -> None:
+    def _arrive(self, now: float, asked: SessionRequest) -> None:
         entry = self._entries[asked.entry]
         number = next(self._numbers)
         job = JobKey(organisation=asked.organisation, key=asked.key) if asked.key else None
@@ -153,9 +155,9 @@
             for stage in request.stages
         )
         if needed > ADMISSION_SHARE * asked.deadline:
-            self._write(now, asked.entry, "refused at the door", {"request": request.request})
+            self._record(now, asked.entry, "refused at admission", {"request": request.request})
         elif not entry.limits.try_enter(entrant, now):
-            self._write(now, asked.entry, "lane full", {"request": request.request})
+            self._record(now, asked.entry, "lane full", {"request": request.request})
         else:
             run = RequestRun(
                 request, token=f"{asked.entry}/1/{number}", wall_clock=now, budget=entry.budget
@@ -163,52 +165,52 @@
             handling = _Handling(self, asked.entry, request, entrant, run)
             handling.carry_out(now, run.begin(now))
 
-    def _write(self, now: float, entry: str, what: str, more: dict[str, Any]) -> None:
+    def _record(self, now: float, entry: str, what: str, more: dict[str, Any]) -> None:
         self.lines.append({"at": round(now, 4), "entry": entry, "what": what, **more})
 
-    # What a handling asks of the session.
+    # Called by handlings.
 
-    def schedule(self, entry: str, moment: float, act: Callable[[float], None]) -> None:
-        """Act at a moment, unless the entry is lost by then."""
-        self._at(moment, lambda now: None if self._entries[entry].is_lost else act(now))
+    def schedule(self, entry: str, at_time: float, act: Callable[[float], None]) -> None:
+        """Schedule an action, unless the entry has crashed by then."""
+        self._push(at_time, lambda now: None if self._entries[entry].is_crashed else act(now))
 
     def commit(self, command: JobCommand) -> JobReply:
         """Commit a job command."""
-        return self._tell_holder(self._ledger.apply(command))
+        return self._mark_gone_holder(self._ledger.apply(command))
 
-    def _tell_holder(self, reply: JobReply) -> JobReply:
+    def _mark_gone_holder(self, reply: JobReply) -> JobReply:
         holder = read_holder(reply.token)
-        is_gone = holder is not None and self._entries[holder.box].is_lost
+        is_gone = holder is not None and self._entries[holder.box].is_crashed
         return replace(reply, is_holder_gone=is_gone) if reply.verdict == "busy" else reply
 
     def choose(self, entry: str, send: Send, now: float) -> Choice | None:
         """Choose a target as the entry would."""
-        known = self._entries[entry]
-        choice = known.books[send.stage.service].choose(
+        state = self._entries[entry]
+        choice = state.books[send.stage.service].choose(
             send.stage.routing,
             Origin(data_centre="one"),
             avoid=send.avoid,
-            leaving=known.leaving,
+            leaving=state.leaving,
             now=now,
             randomness=self._randomness,
         )
         if choice is not None:
-            known.meters[send.stage.service].begin()
+            state.meters[send.stage.service].begin()
         return choice
 
     def call(self, choice: Choice, send: Send, now: float) -> tuple[float, AttemptResult]:
-        """Call a target; return when it answers and what."""
+        """Call a target; return the time of its answer and the answer."""
         target = next(t for t in self._services[send.stage.service] if t.name == choice.target)
-        if now >= target.leaves_at:
+        if now >= target.drains_at:
             refusal = AttemptResult(answers=None, outcome="refused", is_leaving=True, fault="gone")
             return now + 0.001, refusal
         end = target.work(now, send.text)
         if end > now + send.seconds:
             late = AttemptResult(answers=None, outcome="failed", fault="late")
             return now + send.seconds, late
-        if now < target.leaves_at < end and send.stage.name == "generate":
+        if now < target.drains_at < end and send.stage.name == "generate":
             broken = AttemptResult(answers=None, outcome="failed", tokens=3, fault="cut")
-            return target.leaves_at, broken
+            return target.drains_at, broken
         output = f"{send.stage.name}({send.text[:24]})"
         return end, AttemptResult(answers=send.key, outcome="answered", output=output, tokens=5)
 
@@ -222,14 +224,14 @@
         began_at: float,
         result: AttemptResult,
     ) -> None:
-        """Take down what an ended attempt tells of its target."""
-        known = self._entries[entry]
+        """Record the outcome of an attempt at a target."""
+        state = self._entries[entry]
         target = next(t for t in self._services[send.stage.service] if t.name == choice.target)
         is_answered = result.outcome == "answered"
         seconds = now - began_at if is_answered else None
         work = _work(request, send.stage.name)
-        pace = known.meters[send.stage.service].finish(work, now, seconds)
-        known.books[send.stage.service].finish(
+        pace = state.meters[send.stage.service].finish(work, now, seconds)
+        state.books[send.stage.service].finish(
             choice.target,
             "good" if is_answered else ("neutral" if result.outcome == "refused" else "bad"),
             now,
@@ -237,19 +239,19 @@
             report=target.report(now),
         )
         if result.is_leaving:
-            known.leaving.add(choice.target)
+            state.leaving.add(choice.target)
 
     def end(self, entry: str, handling: "_Handling", now: float, effect: End) -> None:
-        """Write down an ending and bill it."""
+        """Record an outcome and its cost."""
         self._entries[entry].limits.leave(handling.entrant)
         lines = effect.billed.costs
         self._costs.record(RecordCosts(sender="s", batch=next(self._batches), lines=lines))
         ending = _describe(effect.billed.ending)
-        self._write(now, entry, "ended", {"request": handling.request.request, **ending})
+        self._record(now, entry, "ended", {"request": handling.request.request, **ending})
 
 
 class _Handling:
-    """One request on its way."""
+    """One request in progress."""
 
     def __init__(
         self, session: Session, entry: str, request: Request, entrant: Entrant, run: RequestRun
@@ -258,24 +260,24 @@
         self.entrant, self.run = entrant, run
 
     def carry_out(self, now: float, effect: Effect) -> None:
-        """Carry out one effect; the next one follows at its moment."""
+        """Carry out one effect, and schedule the next one."""
         if isinstance(effect, End):
             self.session.end(self.entry, self, now, effect)
         elif isinstance(effect, Wait):
-            self._later(now + effect.seconds, self.run.resume)
+            self._schedule(now + effect.seconds, self.run.resume)
         elif isinstance(effect, AskLedger):
-            self._ask(now, effect)
+            self._ask_ledger(now, effect)
         else:
             self._send(now, effect)
 
-    def _later(self, moment: float, step: Callable[[float], Effect]) -> None:
-        self.session.schedule(self.entry, moment, lambda now: self.carry_out(now, step(now)))
+    def _schedule(self, at_time: float, step: Callable[[float], Effect]) -> None:
+        self.session.schedule(self.entry, at_time, lambda now: self.carry_out(now, step(now)))
 
-    def _ask(self, now: float, effect: AskLedger) -> None:
+    def _ask_ledger(self, now: float, effect: AskLedger) -> None:
         def reply(later: float) -> Effect:
             return self.run.take_reply(later, self.session.commit(effect.command))
 
-        self._later(now + COMMIT_SECONDS, reply)
+        self._schedule(now + COMMIT_SECONDS, reply)
 
     def _send(self, now: float, send: Send) -> None:
         choice = self.session.choose(self.entry, send, now)
@@ -289,7 +291,7 @@
             self.session.finish(self.entry, self.request, send, choice, later, now, result)
             return self.run.take_result(later, choice.target, result)
 
-        self._later(answered_at, take)
+        self._schedule(answered_at, take)
 
 
 def _work(request: Request, stage: str) -> Work:
--- a/packages/damsonlane/src/damsonlane/requests/tests/sessions.py
+++ b/packages/damsonlane/src/damsonlane/requests/tests/sessions.py
@@ -1,7 +1,7 @@
 """The sessions that have golden files.
 
-``python -m damsonlane.requests.tests.sessions`` writes the golden files anew;
-read the difference before you commit it.
+``python -m damsonlane.requests.tests.sessions`` regenerates the golden files; review the
+difference before committing it.
 """
 
 import json
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from damsonlane.requests.tests.session import Asked, FakeTarget, Session
+from damsonlane.requests.tests.session import FakeTarget, Session, SessionRequest
 
 GOLDEN = Path(__file__).with_name("golden")
 
@@ -27,11 +27,11 @@
 _FOUR = ["encode", "retrieve", "rerank", "generate"]
 
 
-def play_closing_time() -> dict[str, Any]:
-    """Florists and grocers all ask at closing time; two targets a stage."""
+def run_closing_time() -> dict[str, Any]:
+    """Two organisations send a burst of requests; each stage has two targets."""
     services = _make_targets(encode=2, retrieve=2, rerank=2, generate=2)
     asked = [
-        Asked(
+        SessionRequest(
             at=round(1.0 + 0.01 * number, 3),
             entry=f"entry-{1 + number % 2}",
             organisation="florists" if number % 4 else "grocers",
@@ -44,10 +44,10 @@
     return Session(services, {"statement": _FOUR}).run(asked)
 
 
-def play_hearing() -> dict[str, Any]:
-    """One long dossier, and many lookups that must not wait for it."""
+def run_hearing() -> dict[str, Any]:
+    """One long request, and many lookups that must not wait for it."""
     services = _make_targets(encode=1, retrieve=1, rerank=1, generate=1, lookup=1)
-    dossier = Asked(
+    dossier = SessionRequest(
         at=0.0,
         entry="entry-1",
         organisation="bureau",
@@ -57,7 +57,7 @@
         lane="bulk",
     )
     lookups = [
-        Asked(
+        SessionRequest(
             at=round(0.1 * number, 2),
             entry="entry-1",
             organisation="bureau",
@@ -71,12 +71,12 @@
     return Session(services, {"dossier": _FOUR, "lookup": ["lookup"]}).run([dossier, *lookups])
 
 
-def play_leaving_target() -> dict[str, Any]:
-    """An engine leaves in the middle of a generation."""
+def run_draining_target() -> dict[str, Any]:
+    """An engine drains during a generation."""
     services = _make_targets(generate=2)
-    services["generate"][0].leaves_at = 0.5
+    services["generate"][0].drains_at = 0.5
     asked = [
-        Asked(
+        SessionRequest(
             at=round(0.1 * number, 2),
             entry="entry-1",
             organisation="bureau",
@@ -88,29 +88,31 @@
     return Session(services, {"subtitle": ["generate"]}).run(asked)
 
 
-def play_lost_entry() -> dict[str, Any]:
-    """An entry is lost with marked requests at each point; they are sent again elsewhere."""
+def run_crashed_entry() -> dict[str, Any]:
+    """An entry crashes with jobs in each phase; the caller retries at another entry."""
     services = _make_targets(terminal=1)
     services["terminal"][0].base_seconds = 0.05
-    moments = {"before the claim": 0.999, "claimed": 0.997, "running": 0.98, "finished": 0.8}
+    sent_at = {"before the claim": 0.999, "claimed": 0.997, "running": 0.98, "finished": 0.8}
     first = [
-        Asked(at=at, entry="entry-1", organisation="florists", pipeline="refund", text=key, key=key)
-        for key, at in moments.items()
+        SessionRequest(
+            at=at, entry="entry-1", organisation="florists", pipeline="refund", text=key, key=key
+        )
+        for key, at in sent_at.items()
     ]
     again = [
-        Asked(
+        SessionRequest(
             at=1.5, entry="entry-2", organisation="florists", pipeline="refund", text=key, key=key
         )
-        for key in moments
+        for key in sent_at
     ]
     return Session(services, {"refund": ["terminal"]}).run([*first, *again], {"entry-1": 1.0})
 
 
 SESSIONS: dict[str, Callable[[], dict[str, Any]]] = {
-    "closing-time": play_closing_time,
-    "hearing": play_hearing,
-    "leaving-target": play_leaving_target,
-    "lost-entry": play_lost_entry,
+    "closing-time": run_closing_time,
+    "hearing": run_hearing,
+    "leaving-target": run_draining_target,
+    "lost-entry": run_crashed_entry,
 }
 
 
@@ -124,5 +126,5 @@
 
 
 if __name__ == "__main__":
-    for session_name, play in SESSIONS.items():
-        (GOLDEN / f"{session_name}.json").write_text(render(play()))
+    for session_name, run in SESSIONS.items():
+        (GOLDEN / f"{session_name}.json").write_text(render(run()))
--- a/packages/damsonlane/src/damsonlane/requests/tests/test_machine.py
+++ b/packages/damsonlane/src/damsonlane/requests/tests/test_machine.py
@@ -1,4 +1,4 @@
-"""The stateful machine finds no fault, and finds every planted one."""
+"""The state machine test finds no fault in the code, and finds every injected one."""
 
 import unittest
 
@@ -16,15 +16,15 @@
     database=None,
     suppress_health_check=list(HealthCheck),
 )
-#: Planted faults are searched for longer, and not shrunk.
+#: Injected faults are searched for with more examples, and without shrinking.
 _SEARCH = settings(_SETTINGS, max_examples=3000, phases=[Phase.generate])
 
 
 class MachineTest(unittest.TestCase):
-    def test_promises_hold(self) -> None:
+    def test_guarantees_hold(self) -> None:
         run_state_machine_as_test(RequestMachine, settings=_SETTINGS)
 
-    def test_planted_faults_are_found(self) -> None:
+    def test_injected_faults_are_found(self) -> None:
         for fault in Fault:
             if fault is Fault.NONE:
                 continue
--- a/packages/damsonlane/src/damsonlane/requests/tests/test_session.py
+++ b/packages/damsonlane/src/damsonlane/requests/tests/test_session.py
@@ -1,4 +1,4 @@
-"""Whole sessions against their golden files."""
+"""Transcripts of sessions are compared with golden files."""
 
 import unittest
 
@@ -8,10 +8,10 @@
 class SessionTest(unittest.TestCase):
     maxDiff = None
 
-    def test_sessions_are_as_written(self) -> None:
-        for name, play in SESSIONS.items():
+    def test_sessions_match_their_golden_files(self) -> None:
+        for name, run in SESSIONS.items():
             with self.subTest(name):
-                self.assertEqual(render(play()), (GOLDEN / f"{name}.json").read_text())
+                self.assertEqual(render(run()), (GOLDEN / f"{name}.json").read_text())
 
 
 if __name__ == "__main__":
--- a/packages/damsonlane/src/damsonlane/requests/tests/world.py
+++ b/packages/damsonlane/src/damsonlane/requests/tests/world.py
@@ -1,4 +1,4 @@
-"""Requests, targets and a ledger in memory, and what really ran."""
+"""Requests, targets and a ledger in memory, with a record of what ran."""
 
 from collections import Counter
 from dataclasses import dataclass, field, replace
@@ -35,7 +35,7 @@
 
 
 class Fault(Enum):
-    """Faults that can be planted, to show that the machine finds them."""
+    """Faults that can be injected, to show that the state machine test finds them."""
 
     NONE = "none"
     RETRY_STARTED = "a started call is sent again"
@@ -58,9 +58,9 @@
 
 
 class _SaysNotRunEarly(RequestRun):
-    def _take_closing_reply(self, reply: JobReply | None) -> Effect:
-        assert self._pending is not None
-        return self._end(self._pending)
+    def _take_drop_reply(self, reply: JobReply | None) -> Effect:
+        assert self._pending_refusal is not None
+        return self._end(self._pending_refusal)
 
     def _unconfirmed_run(self) -> str:  # type: ignore[override]
         return "no"
@@ -68,13 +68,13 @@
 
 class _SendsUnconfirmed(RequestRun):
     def take_reply(self, now: float, reply: JobReply | None) -> Effect:
-        if reply is None and self._pending is None and not self._is_started:
+        if reply is None and self._pending_refusal is None and not self._is_started:
             self._is_started = True
             return self._send(now)
         return super().take_reply(now, reply)
 
 
-class _LedgerThatLetsGo(Ledger):
+class _LedgerThatDropsStarted(Ledger):
     def drop(self, command: DropJob) -> JobReply:
         return super().drop(replace(command, is_unsent=True))
 
@@ -100,7 +100,7 @@
     Fault.TAKE_OVER_STARTED: _RunThatTakesOver,
 }
 _LEDGERS: dict[Fault, type[Ledger]] = {
-    Fault.TAKE_OVER_STARTED: _LedgerThatLetsGo,
+    Fault.TAKE_OVER_STARTED: _LedgerThatDropsStarted,
     Fault.FORGET_ANSWER: _LedgerThatForgets,
 }
 
@@ -128,7 +128,7 @@
 
 @dataclass
 class World:
-    """Everything that handlings share."""
+    """State shared by all handlings."""
 
     fault: Fault
     now: float = 100.0
@@ -144,7 +144,7 @@
         self.budget = RetryBudget()
 
     def begin(self, organisation: str, key: str, text: str) -> None:
-        """Send a request; an empty key sends one that may be repeated."""
+        """Send a request; with an empty key it may run more than once."""
         number = self.begun
         self.begun += 1
         full_key = f"{organisation}/{key}"
@@ -163,10 +163,10 @@
             is_first_send=full_key not in self.keys_seen,
         )
         self.keys_seen.add(full_key)
-        shape = _RUNS.get(self.fault, RequestRun)
-        run = shape(request, token=f"token-{number}", wall_clock=self.now, budget=self.budget)
+        run_class = _RUNS.get(self.fault, RequestRun)
+        run = run_class(request, token=f"token-{number}", wall_clock=self.now, budget=self.budget)
         self.handlings.append(Handling(number, request, run, run.begin(self.now)))
-        self._note_end(self.handlings[-1])
+        self._record_outcome(self.handlings[-1])
 
     def open_handlings(self) -> list[Handling]:
         """Return the handlings that have not ended."""
@@ -181,19 +181,19 @@
             reply = self.commit(effect.command)
         elif how == "doubt":
             self.doubtful.append(effect.command)
-        shown = reply if how == "commit" else None
-        if shown is None:
-            # An entry that hears nothing waits as long as it may.
+        received = reply if how == "commit" else None
+        if received is None:
+            # Without a reply, an entry waits until its timeout.
             self.now += min(effect.seconds, 0.5)
-        handling.effect = handling.run.take_reply(self.now, shown)
-        self._note_end(handling)
+        handling.effect = handling.run.take_reply(self.now, received)
+        self._record_outcome(handling)
 
     def commit(self, command: JobCommand) -> JobReply:
         """Apply a command to the ledger."""
         reply = self.ledger.apply(command)
         if reply.verdict != "busy":
             return reply
-        # Membership may call any holder gone, rightly or wrongly.
+        # Membership may report any holder as gone, correctly or not.
         return replace(reply, is_holder_gone=len(self.ran) % 2 == 0)
 
     def answer_target(self, handling: Handling, how: str) -> None:
@@ -205,14 +205,14 @@
         result = self._make_result(effect, how)
         target = "" if how == "unsent" else "target"
         handling.effect = handling.run.take_result(self.now, target, result)
-        self._note_end(handling)
+        self._record_outcome(handling)
 
     def resume(self, handling: Handling) -> None:
-        """Let a waiting handling go on."""
+        """Resume a waiting handling."""
         assert isinstance(handling.effect, Wait)
         self.now += handling.effect.seconds
         handling.effect = handling.run.resume(self.now)
-        self._note_end(handling)
+        self._record_outcome(handling)
 
     def _make_result(self, effect: Send, how: str) -> AttemptResult:
         output = make_output(effect.stage.name, effect.text)
@@ -247,7 +247,7 @@
     def _was_refused_as_not_run(self, handling: Handling) -> bool:
         return isinstance(handling.ending, Refusal) and handling.ending.run == "no"
 
-    def _note_end(self, handling: Handling) -> None:
+    def _record_outcome(self, handling: Handling) -> None:
         if not isinstance(handling.effect, End):
             return
         ending = handling.effect.billed.ending
@@ -259,13 +259,15 @@
             self._check_answer(handling, ending)
 
     def _check_not_run(self, handling: Handling) -> None:
-        """'Not run' speaks of this sending and all earlier ones of the same request."""
+        """'Not run' covers this attempt of the caller and all earlier ones of the same request."""
         request = handling.request
         key = f"{request.organisation}/{request.job.key}" if request.job else ""
         for ran in self.ran:
-            is_same = ran.key == key and ran.digest == request.digest if key else False
-            mine = ran.handling == handling.number or (is_same and ran.handling < handling.number)
-            assert not mine, f"'not run' is false: {ran}"
+            is_same_job = ran.key == key and ran.digest == request.digest if key else False
+            is_covered = ran.handling == handling.number or (
+                is_same_job and ran.handling < handling.number
+            )
+            assert not is_covered, f"'not run' is false: {ran}"
 
     def _check_answer(self, handling: Handling, ending: Answer | Repeat) -> None:
         answer = decode_answer(ending.answer) if isinstance(ending, Repeat) else ending
@@ -280,5 +282,5 @@
 
 
 def make_output(stage: str, text: str) -> str:
-    """Return what a target makes of a text."""
+    """Return the output of a target for a text."""
     return f"{stage}({text})"
