--- a/packages/damsonlane/src/damsonlane/backoff/_book.py
+++ b/packages/damsonlane/src/damsonlane/backoff/_table.py
@@ -4,7 +4,7 @@
 from collections.abc import Collection
 from typing import Final
 
-from damsonlane.backoff._start import TargetStart
+from damsonlane.backoff._incarnation import TargetStart
 
 #: Longest back-off that is taken at its word, in seconds.  A longer one is more likely a
 #: mistake, and would lose the target to this box until it starts again; after an hour one
--- a/packages/damsonlane/src/damsonlane/backoff/tests/test_book.py
+++ b/packages/damsonlane/src/damsonlane/backoff/tests/test_table.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from damsonlane.backoff import LONGEST_BACKOFF_SECONDS, BackoffBook, TargetStart
-from damsonlane.backoff._book import MOST_LEAVING
+from damsonlane.backoff._table import MOST_LEAVING
 
 DESK = TargetStart(target="desk-1", address="10.0.0.1:80", start=7)
 NEXT = replace(DESK, start=8)
