--- a/packages/damsonlane/src/damsonlane/backoff/__init__.py
+++ b/packages/damsonlane/src/damsonlane/backoff/__init__.py
@@ -1,4 +1,4 @@
-"""Back-off: targets that want nothing from this box, for a while or because they leave."""
+"""Back-off: targets that requested no work for a while, or are draining."""
 
 from damsonlane.backoff._incarnation import TargetStart
 from damsonlane.backoff._jitter import find_spread_seconds
--- a/packages/damsonlane/src/damsonlane/backoff/_incarnation.py
+++ b/packages/damsonlane/src/damsonlane/backoff/_incarnation.py
@@ -1,4 +1,4 @@
-"""One start of a target."""
+"""One incarnation of a target."""
 
 from dataclasses import dataclass
 from typing import Self
@@ -8,16 +8,16 @@
 
 @dataclass(frozen=True, kw_only=True)
 class TargetStart:
-    """One start of a target: what it said of itself says nothing of its next one."""
+    """One incarnation of a target; what it announced does not apply to the next one."""
 
-    #: Its name.
+    #: Name of the target.
     target: str
-    #: Its address.
+    #: Address of the target.
     address: str
-    #: When it started, in Unix milliseconds; 0 where it does not say.
+    #: Start time in Unix milliseconds; 0 if the target does not report one.
     start: int = 0
 
     @classmethod
     def of(cls, record: TargetRecord) -> Self:
-        """Return the start that a record is of."""
+        """Return the incarnation that a record describes."""
         return cls(target=record.target, address=record.address, start=record.start)
--- a/packages/damsonlane/src/damsonlane/backoff/_jitter.py
+++ b/packages/damsonlane/src/damsonlane/backoff/_jitter.py
@@ -1,23 +1,22 @@
-"""When a box returns to a target after its back-off."""
+"""Jitter that a box adds to a back-off."""
 
 import random
 from typing import Final
 
-#: Seconds between the returns of two boxes, on the average.  A target that asked all boxes
-#: for the same time gets them back one after the other: of 86 boxes that it asked for 3 s at
-#: most 11 return within 50 ms instead of all (replay, mean of 20 seeds).
-RETURN_SPACING_SECONDS: Final = 0.02
-#: Largest share of the back-off that is added for that: the target is missed meanwhile.
-MOST_SPREAD_SHARE: Final = 0.25
+#: Mean interval between the returns of two boxes, in seconds.  Without jitter, all boxes that got
+#: the same back-off would return to the target at the same time.
+RETURN_INTERVAL_SECONDS: Final = 0.02
+#: Largest jitter, as a share of the back-off; the capacity of the target is unused meanwhile.
+MAX_JITTER_SHARE: Final = 0.25
 
 
 def find_spread_seconds(seconds: float, boxes: int, randomness: random.Random) -> float:
-    """Return the seconds that a box adds to a back-off.
+    """Draw the seconds that a box adds to a back-off.
 
     Args:
-        seconds: the back-off that was asked.
-        boxes: how many boxes send to the target.
-        randomness: differs from box to box.
+        seconds: the requested back-off.
+        boxes: number of boxes that send to the target.
+        randomness: source of randomness; seeded differently on each box.
     """
-    most = min(MOST_SPREAD_SHARE * seconds, RETURN_SPACING_SECONDS * boxes)
+    most = min(MAX_JITTER_SHARE * seconds, RETURN_INTERVAL_SECONDS * boxes)
     return randomness.uniform(0.0, most)
--- a/packages/damsonlane/src/damsonlane/backoff/_table.py
+++ b/packages/damsonlane/src/damsonlane/backoff/_table.py
@@ -1,4 +1,4 @@
-"""Which targets want nothing from this box, and for how long."""
+"""Table of the targets that back off or are draining."""
 
 import math
 from collections.abc import Collection
@@ -6,75 +6,84 @@
 
 from damsonlane.backoff._incarnation import TargetStart
 
-#: Longest back-off that is taken at its word, in seconds.  A longer one is more likely a
-#: mistake, and would lose the target to this box until it starts again; after an hour one
-#: request asks it once more.
+#: Longest back-off that is accepted, in seconds.  A longer one is probably a mistake, and would
+#: make the target unusable for this box until it restarts.
 LONGEST_BACKOFF_SECONDS: Final = 3_600.0
-#: Starts of leaving targets that are remembered, the newest ones: ten days' worth where 200
-#: targets are replaced a day.
-MOST_LEAVING: Final = 2_048
+#: Maximum number of draining incarnations in the table; the oldest are removed.
+MAX_DRAINING: Final = 2_048
 
 
 class BackoffBook:
-    """What targets asked of this box, by their starts.
+    """Back-off and draining of targets, by incarnation.
 
-    It belongs to the box and not to a connection, a request or a service, since whatever
-    brings something to a target must heed it.
+    There is one table per box, not per connection, request or service: everything that sends to
+    a target must respect it.
     """
 
     def __init__(self) -> None:
         self._until: dict[TargetStart, float] = {}
-        self._leaving: dict[TargetStart, None] = {}
+        self._draining: dict[TargetStart, None] = {}
 
-    def note(self, named: TargetStart, seconds: float, now: float, spread: float = 0.0) -> None:
-        """Note that a target wants nothing for a while.
+    def note(
+        self, incarnation: TargetStart, seconds: float, now: float, jitter: float = 0.0
+    ) -> None:
+        """Record a back-off that a target requested.
 
-        An earlier word that lasts longer still holds: each was asked by itself.
+        An earlier back-off that ends later remains in force.
 
         Args:
-            named: the target.
-            seconds: for how long.
-            now: the time by the box's clock.
-            spread: seconds that this box adds, so that boxes do not return together.
+            incarnation: the target.
+            seconds: length of the back-off.
+            now: clock of the box, in seconds.
+            jitter: seconds that this box adds, so that boxes do not return simultaneously.
         """
-        until = now + min(seconds, LONGEST_BACKOFF_SECONDS) + spread
-        self._until[named] = max(until, self._until.get(named, until))
+        until = now + min(seconds, LONGEST_BACKOFF_SECONDS) + jitter
+        self._until[incarnation] = max(until, self._until.get(incarnation, until))
 
-    def note_leaving(self, named: TargetStart) -> bool:
-        """Note that a target leaves, which it never takes back; tell whether that is news."""
-        is_news = named not in self._leaving
-        self._leaving[named] = None
-        if len(self._leaving) > MOST_LEAVING:
-            del self._leaving[next(iter(self._leaving))]
-        return is_news
+    def note_leaving(self, incarnation: TargetStart) -> bool:
+        """Record that a target is draining, which is final; return whether it was not known yet."""
+        is_new = incarnation not in self._draining
+        self._draining[incarnation] = None
+        if len(self._draining) > MAX_DRAINING:
+            del self._draining[next(iter(self._draining))]
+        return is_new
 
     def is_empty(self) -> bool:
-        """Tell whether no target asked for anything."""
-        return not self._until and not self._leaving
+        """Return whether no target backs off or is draining."""
+        return not self._until and not self._draining
 
     def list_backing_off(self, now: float) -> set[TargetStart]:
-        """Return the targets that want nothing for now, those that leave included."""
-        resting = {named for named, until in self._until.items() if until > now}
-        return resting | self._leaving.keys()
+        """Return the targets that back off at present, including draining ones."""
+        backing_off = {incarnation for incarnation, until in self._until.items() if until > now}
+        return backing_off | self._draining.keys()
 
-    def is_leaving(self, named: TargetStart) -> bool:
-        """Tell whether a target said that it leaves."""
-        return named in self._leaving
+    def is_leaving(self, incarnation: TargetStart) -> bool:
+        """Return whether a target announced that it is draining."""
+        return incarnation in self._draining
 
-    def seconds_left(self, named: TargetStart, now: float) -> float:
-        """Return for how long a target still wants nothing: 0 if it may be sent something."""
-        if named in self._leaving:
+    def seconds_left(self, incarnation: TargetStart, now: float) -> float:
+        """Return the remaining seconds of the back-off of a target; infinite if it is draining."""
+        if incarnation in self._draining:
             return math.inf
-        return max(0.0, self._until.get(named, now) - now)
+        return max(0.0, self._until.get(incarnation, now) - now)
 
     def forget_others(self, known: Collection[TargetStart], now: float) -> None:
-        """Forget what is over, and what control lists no more if it may come back as another.
+        """Remove back-offs that are over, and draining targets that may have restarted.
 
-        The same start may be listed again by a replica that lagged behind, and still wants
-        nothing then.  One that tells no start can't be told from its next one.
+        A target that control no longer lists may be listed again by a lagging replica, and its
+        back-off still applies then.  Draining targets that do not report a start are an
+        exception, since their incarnations cannot be distinguished.
+
+        Args:
+            known: the targets that control lists.
+            now: clock of the box, in seconds.
         """
-        for named in [named for named in self._leaving if named.start == 0]:
-            if named not in known:
-                del self._leaving[named]
-        for named in [named for named, until in self._until.items() if until <= now]:
-            del self._until[named]
+        for incarnation in [
+            incarnation for incarnation in self._draining if incarnation.start == 0
+        ]:
+            if incarnation not in known:
+                del self._draining[incarnation]
+        for incarnation in [
+            incarnation for incarnation, until in self._until.items() if until <= now
+        ]:
+            del self._until[incarnation]
