--- a/packages/damsonlane/src/damsonlane/placing/_engine_table.py
+++ b/packages/damsonlane/src/damsonlane/placing/_engine_table.py
@@ -120,7 +120,7 @@
             return Placement(number=order.number, target="")
         candidates = self._list_candidates(usable, order, preferred, rate_limited, now)
         chosen = min(
-            candidates, key=lambda candidate: (candidate.cost, _hash_rank(candidate.name, order))
+            candidates, key=lambda candidate: (candidate.cost, _rank(candidate.name, order))
         )
         self._record_placement(sender, order, chosen, now)
         return Placement(number=order.number, target=chosen.name, source=chosen.transfer.source)
@@ -163,7 +163,7 @@
         """
         if self._transfer_pace is not None or any(cached.values()):
             return ""
-        return min(cached, key=lambda name: (name not in preferred, _hash_rank(name, order)))
+        return min(cached, key=lambda name: (name not in preferred, _rank(name, order)))
 
     def note_read(self, sender: str, outcome: PromptRead, now: float) -> None:
         """Record the outcome of a placed prompt."""
@@ -243,10 +243,10 @@
     return sum(place.size for place in order.inputs if place.data_centre != engine.data_centre)
 
 
-def _hash_rank(name: str, order: PromptOrder) -> bytes:
+def _rank(name: str, order: PromptOrder) -> bytes:
     """Return the rank of an engine for a prompt by rendezvous hashing; the least wins."""
-    return _hash_prefix(name, order.shared[-1].identity if order.shared else "")
+    return _rank_by_prefix(name, order.shared[-1].identity if order.shared else "")
 
 
 #: Cached ranks of an engine for a prefix: hashing would take most of the time of a placement.
-_hash_prefix: Final = functools.lru_cache(maxsize=32_768)(rank_target)
+_rank_by_prefix: Final = functools.lru_cache(maxsize=32_768)(rank_target)
--- a/packages/damsonlane/src/damsonlane/pools/_pieces.py
+++ b/packages/damsonlane/src/damsonlane/pools/_pieces.py
@@ -4,7 +4,7 @@
 from typing import Literal
 
 #: Why a piece was not computed: it was too late for its deadline or its latency objective,
-#: one of its inputs is lost, or all attempts at targets failed.
+#: one of its inputs is lost, or no target could compute it.
 PieceFault = Literal["late", "lost-input", "failed"]
 
 
--- a/packages/damsonlane/src/damsonlane/pools/_queue.py
+++ b/packages/damsonlane/src/damsonlane/pools/_queue.py
@@ -183,7 +183,7 @@
 
 def _late_key(stage: WaitingStage) -> tuple[bool, int, float]:
     """Return the sort key of a stage that misses its latency objective; the least goes first."""
-    return (stage.is_first, stage.rank, stage.aim_at)
+    return (stage.is_unstarted, stage.rank, stage.aim_at)
 
 
 def _list_pieces(stages: Sequence[WaitingStage]) -> list[WaitingPiece]:
--- a/packages/damsonlane/src/damsonlane/pools/_schedule.py
+++ b/packages/damsonlane/src/damsonlane/pools/_schedule.py
@@ -37,13 +37,13 @@
         return self.pieces[0].aim_at
 
     @property
-    def is_first(self) -> bool:
+    def is_unstarted(self) -> bool:
         """Whether no work has been done for the request yet."""
-        return all(piece.is_first for piece in self.pieces)
+        return all(piece.is_unstarted for piece in self.pieces)
 
     def may_be_refused(self, now: float) -> bool:
         """Return whether the request may still be refused or abandoned."""
-        return self.is_first or now < self.pieces[0].give_up_until
+        return self.is_unstarted or now < self.pieces[0].give_up_until
 
 
 class Schedule:
--- a/packages/damsonlane/src/damsonlane/pools/_waiting.py
+++ b/packages/damsonlane/src/damsonlane/pools/_waiting.py
@@ -29,7 +29,7 @@
         return (self.sender, self.order.number)
 
     @property
-    def is_first(self) -> bool:
+    def is_unstarted(self) -> bool:
         """Whether no work has been done for the request yet."""
         return not (self.order.inputs or self.order.is_begun or self.attempts)
 
--- a/packages/damsonlane/src/damsonlane/pools/tests/simulation.py
+++ b/packages/damsonlane/src/damsonlane/pools/tests/simulation.py
@@ -24,9 +24,9 @@
 #: Seconds after which a target evicts a result that is not released.
 KEEP_SECONDS: Final = 4.0
 #: Seconds from the last result of a request until its results are released.
-USE_SECONDS: Final = 0.08
+RELEASE_SECONDS: Final = 0.08
 #: Share of its deadline during which a request that is begun may still be abandoned.
-GIVE_UP_SHARE: Final = 0.45
+ABANDON_SHARE: Final = 0.45
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -160,7 +160,7 @@
         self._random: Final = random.Random(seed)
         self._queue: Final = PieceQueue()
         self._events: list[tuple[float, int, Callable[[float], None]]] = []
-        self._order: Final = itertools.count()
+        self._counter: Final = itertools.count()
         self._requests: dict[str, _Request] = {}
         pool = pattern.pool
         self._memories: Final = [ResultRoom(pool.room, KEEP_SECONDS) for _ in pool.data_centres]
@@ -175,7 +175,7 @@
     def run(self) -> "list[Outcome]":
         """Run to the end and return the outcomes by request class."""
         for index in range(len(self._pattern.classes)):
-            self._plan_arrivals(index)
+            self._schedule_arrivals(index)
         while self._events:
             now, _, act = heapq.heappop(self._events)
             act(now)
@@ -183,20 +183,20 @@
         return self.outcomes
 
     def _schedule(self, when: float, act: Callable[[float], None]) -> None:
-        heapq.heappush(self._events, (when, next(self._order), act))
+        heapq.heappush(self._events, (when, next(self._counter), act))
 
-    def _plan_arrivals(self, index: int) -> None:
+    def _schedule_arrivals(self, index: int) -> None:
         request_class = self._pattern.classes[index]
         times = [peak.times for peak in self._pattern.peaks if peak.request_class == index]
-        most = request_class.rate * max([1.0, *times])
+        max_rate = request_class.rate * max([1.0, *times])
         now = 0.0
         while True:
-            now += self._random.expovariate(most)
+            now += self._random.expovariate(max_rate)
             if now > self._pattern.seconds:
                 return
             if (
                 self._random.random()
-                < request_class.rate * self._find_multiplier(index, now) / most
+                < request_class.rate * self._find_multiplier(index, now) / max_rate
             ):
                 self._schedule(now, lambda at: self._arrive(index, at))
 
@@ -229,7 +229,7 @@
             aim_left = request_class.aim_seconds
         for piece in range(count):
             order = PieceOrder(
-                number=next(self._order),
+                number=next(self._counter),
                 request=name,
                 stage=0,
                 piece=piece,
@@ -238,7 +238,7 @@
                 home=home,
                 left_seconds=left,
                 aim_left_seconds=aim_left,
-                give_up_left_seconds=GIVE_UP_SHARE * request_class.deadline_seconds,
+                give_up_left_seconds=ABANDON_SHARE * request_class.deadline_seconds,
                 rank=request_class.rank,
                 is_late_return=is_late_return and self._pattern.detects_retries,
                 result_bytes=request_class.result_bytes,
@@ -265,12 +265,12 @@
         for target in range(len(self._free_at)):
             if not len(self._queue) or self._is_busy[target] or self._is_down(target, now):
                 continue
-            selection = self._queue.select(now, self._make_offer(target, now))
+            selection = self._queue.select(now, self._find_capacity(target, now))
             self._refuse(selection.late, now)
             if selection.batch:
                 self._start_call(target, selection.batch, now)
 
-    def _make_offer(self, target: int, now: float) -> Offer:
+    def _find_capacity(self, target: int, now: float) -> Offer:
         pool = self._pattern.pool
         usable = [index for index in range(len(self._free_at)) if not self._is_down(index, now)]
         waits = {index: max(0.0, self._free_at[index] - now) for index in usable}
@@ -338,7 +338,7 @@
         if request.left:
             return
         request.is_over = True
-        self._schedule(now + USE_SECONDS, lambda _: self._release_results(request))
+        self._schedule(now + RELEASE_SECONDS, lambda _: self._release_results(request))
         outcome = self.outcomes[request.request_class]
         aim = self._pattern.classes[request.request_class].aim_seconds
         if now <= request.first_at + aim:
@@ -365,8 +365,8 @@
                 outcome.refused_retries += 1
             elif self._pattern.retry_seconds is not None:
                 count = request.left + len(request.handles)
-                back_at = now + self._pattern.retry_seconds
-                self._schedule(back_at, partial(self._retry, request, count))
+                retry_at = now + self._pattern.retry_seconds
+                self._schedule(retry_at, partial(self._retry, request, count))
 
     def _release_results(self, request: _Request) -> None:
         for target, handle in request.handles:
