--- /dev/null
+++ b/packages/damsonlane/src/damsonlane/placing/_engine_table.py
@@ -0,0 +1,252 @@
+"""Selects an engine for each prompt by the expected time to its first event.
+
+One entry places all prompts of a service.  Entries that choose on their own see only their
+share of the load, so prompts queue at one engine while others are idle.
+
+Engines that can transfer cached prompt segments to each other do so, which is much faster than
+prefilling a segment again.  Thus a prompt can go to the engine that is near the results of its
+stages, wherever its segments are cached.
+"""
+
+import functools
+from collections.abc import Collection, Mapping, Sequence
+from dataclasses import dataclass
+from typing import Final
+
+from damsonlane.placing._engine import Engine
+from damsonlane.placing._prefill_pace import BASE_SECONDS, PrefillPace
+from damsonlane.placing._prompts import Placement, PromptOrder, PromptRead
+from damsonlane.placing._transfers import NO_TRANSFER, Transfer, plan_transfers
+from damsonlane.routing import Place, rank_target
+
+#: Extra cost of prefilling a shared segment again, as a multiple of the time it takes: it costs
+#: money, and evicts other segments from the cache.
+RECOMPUTE_WEIGHT: Final = 1.0
+#: Cost of each byte of inputs that is transferred from another data centre, in seconds: links
+#: between data centres are paid for.
+REMOTE_BYTE_SECONDS: Final = 0.016e-6
+#: Extra cost of prefilling a new shared segment at an engine with a rate limit, as a multiple of
+#: the time it takes: other engines will soon have to prefill it as well.  A higher cost would
+#: overload the engines without rate limits.
+RATE_LIMITED_WEIGHT: Final = 0.5
+#: Extra cost of an engine that is meant for prompts of another length, in seconds.
+OTHER_LENGTH_SECONDS: Final = 0.2
+#: Extra cost of a first event expected after its latency objective, in seconds.
+LATE_SECONDS: Final = 1.0
+#: Seconds for which an engine that did not take a prompt is ejected.
+EJECTION_SECONDS: Final = 1.0
+#: Maximum number of placements whose outcome is awaited; older ones are dropped.
+MAX_PENDING: Final = 2_048
+
+
+@dataclass(frozen=True, kw_only=True)
+class _Pending:
+    """A placed prompt whose outcome is awaited."""
+
+    #: Name of the engine.
+    name: str
+    #: The engine.
+    engine: Engine
+    #: Tokens to prefill until its first event, including those of the prompts before it.
+    tokens: float
+    #: Expected seconds until its first event.
+    seconds: float
+
+
+@dataclass(frozen=True, kw_only=True)
+class _Candidate:
+    """An engine that a prompt could go to."""
+
+    #: Name of the engine.
+    name: str
+    #: Tokens that it would prefill.
+    uncached: int
+    #: Segments that it would fetch from another engine.
+    transfer: Transfer
+    #: Cost of the prompt there, in seconds.
+    cost: float
+
+
+class EngineBook:
+    """Engines of one service with the prompts that are placed at each.
+
+    Args:
+        cache_tokens: capacity of the memory of an engine, in tokens.
+        transfer_pace: seconds per token of a transfer between engines; None if they cannot
+            transfer segments.
+    """
+
+    def __init__(self, cache_tokens: int, transfer_pace: float | None = None) -> None:
+        self._cache_tokens: Final = cache_tokens
+        self._transfer_pace: Final = transfer_pace
+        self._engines: dict[str, Engine] = {}
+        self._pace: Final = PrefillPace()
+        self._pending: dict[tuple[str, int], _Pending] = {}
+
+    def update(self, places: Collection[Place]) -> None:
+        """Replace the usable engines; the cache of a restarted engine is empty."""
+        for removed in set(self._engines) - {place.target for place in places}:
+            del self._engines[removed]
+        for place in places:
+            known = self._engines.get(place.target)
+            if known is None or known.start != place.start:
+                engine = Engine(self._cache_tokens, place.data_centre, place.start)
+                self._engines[place.target] = engine
+
+    def place(
+        self,
+        sender: str,
+        order: PromptOrder,
+        preferred: Collection[str],
+        now: float,
+        excluded: Collection[str] = (),
+        rate_limited: Collection[str] = (),
+    ) -> Placement:
+        """Choose the engine for a prompt and add the prompt to its load.
+
+        Args:
+            sender: name of the sender.
+            order: the prompt.
+            preferred: names of the engines for prompts of this length.
+            now: the monotonic clock, in seconds.
+            excluded: names of engines that must not get prompts at the moment.
+            rate_limited: names of engines with a rate limit.
+
+        Returns:
+            The engine, and the one from which it should fetch segments of the prompt.
+        """
+        usable = self._find_usable(order, excluded, now)
+        if not usable:
+            return Placement(number=order.number, target="")
+        candidates = self._list_candidates(usable, order, preferred, rate_limited, now)
+        chosen = min(
+            candidates, key=lambda candidate: (candidate.cost, _rank(candidate.name, order))
+        )
+        self._record_placement(sender, order, chosen, now)
+        return Placement(number=order.number, target=chosen.name, source=chosen.transfer.source)
+
+    def _list_candidates(
+        self,
+        usable: Mapping[str, Engine],
+        order: PromptOrder,
+        preferred: Collection[str],
+        rate_limited: Collection[str],
+        now: float,
+    ) -> Sequence[_Candidate]:
+        """Return the usable engines with the cost of a prompt at each."""
+        cached = {name: engine.kept.count_kept(order.shared) for name, engine in usable.items()}
+        transfers = self._plan_transfers(usable, order, cached, now)
+        home = self._find_home(order, cached, preferred)
+        candidates: list[_Candidate] = []
+        for name, engine in usable.items():
+            transfer = transfers[name]
+            uncached = order.tokens - cached[name] - transfer.tokens
+            charged = order.tokens - order.shared_tokens if name == home else uncached
+            cost = self._estimate_cost(engine, order, charged, transfer, now)
+            if name not in preferred:
+                cost += OTHER_LENGTH_SECONDS
+            if name in rate_limited:
+                # Few of the following prompts can use the segments that it prefills.
+                new = max(0, order.shared_tokens - cached[name])
+                cost += RATE_LIMITED_WEIGHT * self._pace.seconds(new)
+            candidates.append(
+                _Candidate(name=name, uncached=uncached, transfer=transfer, cost=cost)
+            )
+        return candidates
+
+    def _find_home(
+        self, order: PromptOrder, cached: Mapping[str, int], preferred: Collection[str]
+    ) -> str:
+        """Return the engine that should prefill shared segments not cached anywhere; or empty.
+
+        It is chosen by rendezvous hashing.  If engines can transfer segments, any will do.
+        """
+        if self._transfer_pace is not None or any(cached.values()):
+            return ""
+        return min(cached, key=lambda name: (name not in preferred, _rank(name, order)))
+
+    def note_read(self, sender: str, outcome: PromptRead, now: float) -> None:
+        """Record the outcome of a placed prompt."""
+        pending = self._pending.pop((sender, outcome.number), None)
+        if pending is None or self._engines.get(pending.name) is not pending.engine:
+            return
+        engine = pending.engine
+        if outcome.seconds is None:
+            engine.ejected_until = now + EJECTION_SECONDS
+            engine.kept.clear()
+            return
+        self._pace.record(pending.tokens, outcome.seconds)
+        engine.record_ratio(outcome.seconds / pending.seconds, now)
+
+    def _find_usable(
+        self, order: PromptOrder, excluded: Collection[str], now: float
+    ) -> Mapping[str, Engine]:
+        """Return the engines that may get a prompt; ejected ones only if no other is left."""
+        unusable = {*order.avoid, *excluded}
+        known = {n: e for n, e in self._engines.items() if n not in unusable}
+        return {n: e for n, e in known.items() if e.ejected_until <= now} or known
+
+    def _plan_transfers(
+        self,
+        usable: Mapping[str, Engine],
+        order: PromptOrder,
+        cached: Mapping[str, int],
+        now: float,
+    ) -> Mapping[str, Transfer]:
+        """Return what each engine would fetch from another one."""
+        if self._transfer_pace is None:
+            return dict.fromkeys(usable, NO_TRANSFER)
+        return plan_transfers(usable, order, cached, self._transfer_pace, now)
+
+    def _estimate_cost(
+        self, engine: Engine, order: PromptOrder, uncached: int, transfer: Transfer, now: float
+    ) -> float:
+        """Return the cost of a prompt at an engine that prefills some of its tokens, in seconds."""
+        wait = max(engine.wait_seconds(now), transfer.done_at - now)
+        prefill = self._pace.seconds(uncached)
+        first_event = (wait + prefill) * engine.find_slow_factor(now) + BASE_SECONDS
+        shared = uncached - (order.tokens - order.shared_tokens)
+        recompute = RECOMPUTE_WEIGHT * self._pace.seconds(shared)
+        late = LATE_SECONDS if first_event > order.aim_left_seconds else 0.0
+        return (
+            first_event
+            + recompute
+            + late
+            + _count_remote_bytes(engine, order) * REMOTE_BYTE_SECONDS
+        )
+
+    def _record_placement(
+        self, sender: str, order: PromptOrder, chosen: _Candidate, now: float
+    ) -> None:
+        engine = self._engines[chosen.name]
+        transfer = chosen.transfer
+        wait = max(engine.wait_seconds(now), transfer.done_at - now)
+        prefill = self._pace.seconds(chosen.uncached)
+        engine.prefilled_at = now + engine.wait_seconds(now) + prefill
+        engine.kept.add(order.shared, now + wait + prefill)
+        if transfer.source:
+            engine.link_free_at = transfer.done_at
+            self._engines[transfer.source].link_free_at = transfer.done_at
+        ahead = wait / max(1e-9, self._pace.seconds(1.0))
+        self._pending[(sender, order.number)] = _Pending(
+            name=chosen.name,
+            engine=engine,
+            tokens=chosen.uncached + ahead,
+            seconds=BASE_SECONDS + wait + prefill,
+        )
+        if len(self._pending) > MAX_PENDING:
+            del self._pending[next(iter(self._pending))]
+
+
+def _count_remote_bytes(engine: Engine, order: PromptOrder) -> int:
+    """Return the bytes of a prompt's inputs that are stored in other data centres."""
+    return sum(place.size for place in order.inputs if place.data_centre != engine.data_centre)
+
+
+def _rank(name: str, order: PromptOrder) -> bytes:
+    """Return the rank of an engine for a prompt by rendezvous hashing; the least wins."""
+    return _rank_by_prefix(name, order.shared[-1].identity if order.shared else "")
+
+
+#: Cached ranks of an engine for a prefix: hashing would take most of the time of a placement.
+_rank_by_prefix: Final = functools.lru_cache(maxsize=32_768)(rank_target)
