--- a/packages/damsonlane/src/damsonlane/agreement/__init__.py
+++ b/packages/damsonlane/src/damsonlane/agreement/__init__.py
@@ -1,4 +1,4 @@
-"""Agreement: a replicated log with elections, snapshots, learners and current reads."""
+"""Raft consensus: replicated log, elections, snapshots, learners and linearizable reads."""
 
 from damsonlane.agreement._log import Log
 from damsonlane.agreement._messages import (
--- a/packages/damsonlane/src/damsonlane/agreement/_followers.py
+++ b/packages/damsonlane/src/damsonlane/agreement/_followers.py
@@ -1,4 +1,4 @@
-"""What a leader knows of all other members."""
+"""Replication progress of the other members, as tracked by the leader."""
 
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
@@ -8,17 +8,17 @@
 
 @dataclass
 class Progress:
-    """How far one replica follows; mutable, owned by the leader."""
+    """Replication progress of one member; mutable, owned by the leader."""
 
     #: Index of the next entry to send.
     next_index: int
-    #: Highest index known to be synced there.
+    #: Highest index known to be synced at the member.
     match: int = 0
-    #: Latest confirmation round it answered.
+    #: Latest confirmation round that it acknowledged.
     round: int = 0
-    #: When it last answered, in seconds of the leader's clock.
-    heard_at: float = 0.0
-    #: When a snapshot was last sent to it, or minus infinity.
+    #: When it last replied, or was added, in seconds of the leader's clock.
+    last_reply_at: float = 0.0
+    #: When an unacknowledged snapshot was last sent to it, in seconds, or minus infinity.
     snapshot_at: float = float("-inf")
 
 
@@ -32,47 +32,47 @@
         return iter(self._progress)
 
     def find(self, replica: str) -> Progress | None:
-        """Return the progress of a replica, or None when it does not follow."""
+        """Return the progress of a replica, or None if it is not tracked."""
         return self._progress.get(replica)
 
     def clear(self) -> None:
-        """Forget everyone."""
+        """Stop tracking all members."""
         self._progress.clear()
 
-    def follow(self, members: Members, own: str, next_index: int, now: float) -> None:
-        """Take over a group: new members start at ``next_index``, gone ones are forgotten."""
+    def set_members(self, members: Members, own: str, next_index: int, now: float) -> None:
+        """Track exactly these members; new ones start at ``next_index``."""
         names = {member.replica for member in members.everyone()} - {own}
         for gone in set(self._progress) - names:
             del self._progress[gone]
         for name in sorted(names - set(self._progress)):
-            self._progress[name] = Progress(next_index=next_index, heard_at=now)
+            self._progress[name] = Progress(next_index=next_index, last_reply_at=now)
 
-    def restart_silent(self, heard_before: float) -> None:
-        """Send again from what is known to match to those that were not heard since."""
+    def rewind_silent(self, replied_before: float) -> None:
+        """Resend from the matching index to members without a reply since a moment."""
         for progress in self._progress.values():
-            if progress.heard_at < heard_before:
+            if progress.last_reply_at < replied_before:
                 progress.next_index = progress.match + 1
 
-    def count_heard(self, members: Members, own: str, since: float) -> int:
-        """Return how many voters were heard since a moment, this replica included."""
+    def count_responsive(self, members: Members, own: str, since: float) -> int:
+        """Return how many voters have replied since a moment, this replica included."""
         return sum(
             1
             for member in members.voters
-            if member.replica == own or self._heard_at(member.replica) >= since
+            if member.replica == own or self._last_reply_at(member.replica) >= since
         )
 
-    def quorum_heard_at(self, members: Members, own: str, now: float) -> float:
-        """Return the latest moment by which a quorum had been heard, this replica included."""
+    def quorum_contact_at(self, members: Members, own: str, now: float) -> float:
+        """Return the latest moment since which a quorum has replied, this replica included."""
 
-        def heard_at(replica: str) -> float:
-            return now if replica == own else self._heard_at(replica)
+        def last_reply_at(replica: str) -> float:
+            return now if replica == own else self._last_reply_at(replica)
 
-        times = sorted(heard_at(member.replica) for member in members.voters)
+        times = sorted(last_reply_at(member.replica) for member in members.voters)
         return times[len(times) - members.quorum()] if times else float("-inf")
 
-    def _heard_at(self, replica: str) -> float:
+    def _last_reply_at(self, replica: str) -> float:
         progress = self._progress.get(replica)
-        return progress.heard_at if progress else float("-inf")
+        return progress.last_reply_at if progress else float("-inf")
 
 
 def find_majority(members: Members, value_of: Callable[[str], int]) -> int:
--- a/packages/damsonlane/src/damsonlane/agreement/_log.py
+++ b/packages/damsonlane/src/damsonlane/agreement/_log.py
@@ -6,12 +6,12 @@
 
 
 class Log:
-    """Entries after a snapshot, in memory; the disk holds the same."""
+    """The last snapshot and the entries after it, in memory; the disk holds the same."""
 
     def __init__(self, snapshot: Snapshot, entries: Sequence[LogEntry]) -> None:
         self.snapshot = snapshot
         self._entries = list(entries)
-        self._changes = [entry for entry in entries if isinstance(entry.body, Members)]
+        self._member_changes = [entry for entry in entries if isinstance(entry.body, Members)]
 
     @property
     def last_index(self) -> int:
@@ -24,7 +24,7 @@
         return self._entries[-1].term if self._entries else self.snapshot.term
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of an entry, or None when it is not here."""
+        """Return the term of an entry, or None if the log does not hold it."""
         if index == self.snapshot.index:
             return self.snapshot.term
         position = index - self.snapshot.index - 1
@@ -33,7 +33,7 @@
         return None
 
     def between(self, first: int, last: int) -> tuple[LogEntry, ...]:
-        """Return the entries from ``first`` to ``last``, both included."""
+        """Return the entries from ``first`` to ``last``, inclusive."""
         offset = self.snapshot.index + 1
         return tuple(self._entries[first - offset : last + 1 - offset])
 
@@ -41,36 +41,36 @@
         """Add an entry at the end."""
         self._entries.append(entry)
         if isinstance(entry.body, Members):
-            self._changes.append(entry)
+            self._member_changes.append(entry)
 
     def truncate_from(self, index: int) -> None:
-        """Drop the entry at ``index`` and all after it."""
+        """Remove the entry at ``index`` and all entries after it."""
         del self._entries[index - self.snapshot.index - 1 :]
-        self._keep_changes(lambda entry: entry.index < index)
+        self._filter_member_changes(lambda entry: entry.index < index)
 
     def replace(self, snapshot: Snapshot) -> None:
         """Replace everything by a snapshot."""
         self.snapshot = snapshot
         self._entries.clear()
-        self._changes.clear()
+        self._member_changes.clear()
 
     def compact(self, snapshot: Snapshot) -> None:
-        """Let a snapshot stand for the entries up to its index and keep those after it."""
+        """Replace the entries up to the snapshot's index by the snapshot."""
         self._entries = list(self.between(snapshot.index + 1, self.last_index))
         self.snapshot = snapshot
-        self._keep_changes(lambda entry: entry.index > snapshot.index)
+        self._filter_member_changes(lambda entry: entry.index > snapshot.index)
 
     def members_entry(self) -> LogEntry | None:
-        """Return the last entry that changes the group, or None if the snapshot's stands."""
-        return self._changes[-1] if self._changes else None
+        """Return the last membership change after the snapshot, or None."""
+        return self._member_changes[-1] if self._member_changes else None
 
     def members_at(self, index: int) -> Members:
-        """Return the group after the entry at ``index``."""
-        for entry in reversed(self._changes):
+        """Return the members in force after the entry at ``index``."""
+        for entry in reversed(self._member_changes):
             if entry.index <= index and isinstance(entry.body, Members):
                 return entry.body
         return self.snapshot.members
 
-    def _keep_changes(self, is_kept: Callable[[LogEntry], bool]) -> None:
-        """Keep the list of changes of the group in step with the entries."""
-        self._changes = [entry for entry in self._changes if is_kept(entry)]
+    def _filter_member_changes(self, is_kept: Callable[[LogEntry], bool]) -> None:
+        """Drop the membership changes whose entries were removed from the log."""
+        self._member_changes = [entry for entry in self._member_changes if is_kept(entry)]
--- a/packages/damsonlane/src/damsonlane/agreement/_messages.py
+++ b/packages/damsonlane/src/damsonlane/agreement/_messages.py
@@ -1,4 +1,4 @@
-"""What replicas store and say to each other."""
+"""Messages between replicas, and the types that they store."""
 
 from dataclasses import dataclass
 from typing import Annotated, Literal
@@ -10,9 +10,9 @@
 class Member:
     """One replica of the group.
 
-    A replica's name is never used again: it holds the box and an incarnation
+    A replica's name is never reused: it consists of the box and an incarnation
     drawn when its data folder was first written, so a box that lost its disk
-    comes back under another name.
+    returns under another name.
     """
 
     #: Name of the replica.
@@ -23,42 +23,42 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Members:
-    """The group as one log entry describes it."""
+    """Members of the group, as one log entry lists them."""
 
     kind: Literal["members"] = "members"
     #: Replicas whose votes count.
     voters: tuple[Member, ...]
-    #: Replicas that are sent the log and do not vote yet.
+    #: Replicas that receive the log and do not vote yet.
     learners: tuple[Member, ...] = ()
 
     def everyone(self) -> tuple[Member, ...]:
-        """Return voters, then learners."""
+        """Return all members: voters, then learners."""
         return self.voters + self.learners
 
     def is_voter(self, replica: str) -> bool:
-        """Tell whether a replica's vote counts."""
+        """Return whether a replica is a voter."""
         return any(member.replica == replica for member in self.voters)
 
     def is_learner(self, replica: str) -> bool:
-        """Tell whether a replica learns."""
+        """Return whether a replica is a learner."""
         return any(member.replica == replica for member in self.learners)
 
     def quorum(self) -> int:
-        """Return how many voters make a majority."""
+        """Return the number of voters that form a majority."""
         return len(self.voters) // 2 + 1
 
     def with_learner(self, member: Member) -> "Members":
-        """Return the group with one more learner."""
+        """Return the members with one more learner."""
         return Members(voters=self.voters, learners=(*self.learners, member))
 
     def with_promoted(self, replica: str) -> "Members":
-        """Return the group with a learner made a voter."""
+        """Return the members with a learner promoted to voter."""
         promoted = tuple(member for member in self.learners if member.replica == replica)
         learners = tuple(member for member in self.learners if member.replica != replica)
         return Members(voters=self.voters + promoted, learners=learners)
 
     def without(self, replica: str) -> "Members":
-        """Return the group without a replica."""
+        """Return the members without a replica."""
         voters = tuple(member for member in self.voters if member.replica != replica)
         learners = tuple(member for member in self.learners if member.replica != replica)
         return Members(voters=voters, learners=learners)
@@ -66,14 +66,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Noop:
-    """The entry with which a new leader opens its term."""
+    """The entry that a new leader appends at the start of its term."""
 
     kind: Literal["noop"] = "noop"
 
 
 @dataclass(frozen=True, kw_only=True)
 class Opaque:
-    """An encoded command, which this package does not look into."""
+    """An encoded command, which this package does not decode."""
 
     kind: Literal["opaque"] = "opaque"
     #: The command as text.
@@ -87,90 +87,90 @@
 class LogEntry:
     """One entry of the replicated log."""
 
-    #: Place in the log, counted from 1.
+    #: Position in the log, counted from 1.
     index: int
-    #: Term of the leader that wrote it.
+    #: Term of the leader that appended it.
     term: int
-    #: What it says.
+    #: Content of the entry.
     body: Body
 
 
 @dataclass(frozen=True, kw_only=True)
 class HardState:
-    """What a replica must never forget."""
+    """Term and vote, which must survive a crash."""
 
     #: Latest term seen.
     term: int = 0
-    #: Replica that got this replica's vote in that term, or an empty string.
+    #: Replica voted for in that term, or an empty string.
     voted_for: str = ""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Snapshot:
-    """The state after an entry, in place of all entries up to it."""
+    """The state after an entry, which replaces all entries up to it."""
 
-    #: Index of the last entry it holds.
+    #: Index of the last entry that it includes.
     index: int
     #: Term of that entry.
     term: int
-    #: The group after that entry.
+    #: Members in force after that entry.
     members: Members
-    #: The encoded state.
+    #: Encoded state.
     state: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class VoteRequest:
-    """A candidate asks for a vote."""
+    """A request for a vote, or for a pre-vote (``is_trial``)."""
 
     kind: Literal["vote-request"] = "vote-request"
-    #: Term for which the vote is asked.
+    #: Term for which the vote is requested.
     term: int
     #: Index of the candidate's last entry.
     last_index: int
     #: Term of the candidate's last entry.
     last_term: int
-    #: Whether this only sounds out if a vote would be granted.
+    #: Whether this is a pre-vote, which asks if a vote would be granted.
     is_trial: bool
 
 
 @dataclass(frozen=True, kw_only=True)
 class VoteReply:
-    """The answer to a candidate."""
+    """The reply to a vote request."""
 
     kind: Literal["vote-reply"] = "vote-reply"
-    #: Term of the vote, or the replica's own term when refused.
+    #: Term of the vote, or the replica's current term if it is not granted.
     term: int
     #: Whether the vote is granted.
     is_granted: bool
-    #: Whether the request was a trial.
+    #: Whether the request was a pre-vote.
     is_trial: bool
 
 
 @dataclass(frozen=True, kw_only=True)
 class AppendRequest:
-    """A leader sends entries; without entries it is a heartbeat."""
+    """Entries from the leader; without entries it is a heartbeat."""
 
     kind: Literal["append-request"] = "append-request"
     #: Term of the leader.
     term: int
-    #: Index of the entry before the first one sent.
+    #: Index of the entry that precedes the first one sent.
     previous_index: int
     #: Term of that entry.
     previous_term: int
-    #: Entries in order, maybe none.
+    #: Entries in order; may be empty.
     entries: tuple[LogEntry, ...]
     #: Highest index known to be committed.
     commit: int
     #: Number of the leader's confirmation round.
     round: int
-    #: Seconds since the leader last had word from a quorum; None before it had.
+    #: Seconds since a quorum last replied to the leader; None if it has not yet.
     quorum_age: float | None = None
 
 
 @dataclass(frozen=True, kw_only=True)
 class SnapshotRequest:
-    """A leader sends its snapshot to a replica that lags behind the log."""
+    """A snapshot from the leader, for a replica that lacks entries no longer in the log."""
 
     kind: Literal["snapshot-request"] = "snapshot-request"
     #: Term of the leader.
@@ -183,17 +183,17 @@
 
 @dataclass(frozen=True, kw_only=True)
 class AppendReply:
-    """The answer to entries or a snapshot."""
+    """The reply to entries or a snapshot."""
 
     kind: Literal["append-reply"] = "append-reply"
     #: Term of the replying replica.
     term: int
-    #: Whether the entry before the first one matched.
+    #: Whether the entry that precedes the first one matched.
     is_success: bool
-    #: On success the highest index known to match the leader's log, else a
-    #: hint: the highest index that might.
+    #: On success the highest index known to match the leader's log, otherwise
+    #: the highest index that may match.
     match: int
-    #: Round of the request that this answers.
+    #: Confirmation round of the request.
     round: int
 
 
@@ -209,12 +209,12 @@
 
     #: Identity of the group.
     cluster: str
-    #: Replica that speaks.
+    #: Replica that sends.
     sender: str
-    #: Replica spoken to.
+    #: Replica that receives.
     receiver: str
-    #: What is said.
+    #: The message.
     message: Message
-    #: Internal address of the box that speaks; a replica that has just joined
-    #: does not find its leader in the part of the log that it holds.
+    #: Internal address of the sender's box; a replica that has just joined
+    #: cannot look up its leader in the part of the log that it holds.
     sender_address: str = ""
--- a/packages/damsonlane/src/damsonlane/agreement/_outbox.py
+++ b/packages/damsonlane/src/damsonlane/agreement/_outbox.py
@@ -1,4 +1,4 @@
-"""What one step of a replica collects until it is handed out."""
+"""The output of one step of a replica while it is being collected."""
 
 from dataclasses import dataclass, field
 
@@ -8,27 +8,27 @@
 
 @dataclass
 class Outbox:
-    """The parts of an output in the making; mutable, one for each step."""
+    """Collects the parts of one output; mutable, one per step."""
 
     #: Identity of the group.
     cluster: str
-    #: Replica that speaks.
+    #: Name of this replica.
     sender: str
-    #: First entry that is not yet on the disk.
+    #: Index of the first entry that is not yet synced to disk.
     unsynced_from: int
-    #: Whether term or vote changed.
+    #: Whether the term or the vote changed.
     has_new_hard_state: bool = False
-    #: A snapshot that replaced everything.
+    #: Snapshot from the leader that replaced the whole log, or None.
     installed: Snapshot | None = None
     #: Messages to send.
     envelopes: list[Envelope] = field(default_factory=list)
-    #: Reads that may be answered.
+    #: Confirmed reads.
     ready: list[ReadReady] = field(default_factory=list)
-    #: Reads that can't be answered here.
+    #: References of reads that failed because leadership was lost.
     failed: list[int] = field(default_factory=list)
 
     def send(self, receiver: str, message: Message) -> None:
-        """Add a message, unless it is to the sender itself."""
+        """Queue a message, unless it is addressed to this replica."""
         if receiver != self.sender:
             self.envelopes.append(
                 Envelope(
@@ -36,6 +36,6 @@
                 )
             )
 
-    def note_unsynced(self, index: int) -> None:
-        """Note that the entry at ``index`` is not on the disk as it is in memory."""
+    def mark_unsynced(self, index: int) -> None:
+        """Record that the entry at ``index`` and later ones must be written to disk."""
         self.unsynced_from = min(self.unsynced_from, index)
--- a/packages/damsonlane/src/damsonlane/agreement/_output.py
+++ b/packages/damsonlane/src/damsonlane/agreement/_output.py
@@ -1,4 +1,4 @@
-"""What a replica asks of the process around it."""
+"""Output of a replica: what the surrounding process must do after each step."""
 
 from dataclasses import dataclass
 
@@ -7,43 +7,43 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Persist:
-    """What must be on disk, synced, before anything else of the output is done."""
+    """What must be written and synced before the rest of the output is carried out."""
 
     #: New term and vote, or None if they did not change.
     hard_state: HardState | None = None
     #: New snapshot that replaces the whole log, or None.
     snapshot: Snapshot | None = None
-    #: Entries to write; those already stored from the first index on are replaced.
+    #: Entries to write; stored entries from the first index on are replaced.
     entries: tuple[LogEntry, ...] = ()
 
     def is_empty(self) -> bool:
-        """Tell whether there is nothing to write."""
+        """Return whether there is nothing to write."""
         return self.hard_state is None and self.snapshot is None and not self.entries
 
 
 @dataclass(frozen=True, kw_only=True)
 class ReadReady:
-    """A read may be answered once the state holds all entries up to an index."""
+    """A confirmed read, which may run once the state holds all entries up to an index."""
 
-    #: The reference given with the read.
+    #: Reference that was passed to `Replica.read`.
     reference: int
-    #: Index that the state must have reached.
+    #: Index of the last entry that must be applied before the read.
     index: int
 
 
 @dataclass(frozen=True, kw_only=True)
 class Output:
-    """The outcome of one step, to be carried out in the order of the fields."""
+    """Output of one step, to be carried out in the order of the fields."""
 
     #: First: write and sync, then call `Replica.acknowledge_persist`.
     persist: Persist = Persist()
-    #: Then: send; a message may get lost, doubled or late.
+    #: Then: send; messages may be lost, duplicated or delayed.
     envelopes: tuple[Envelope, ...] = ()
-    #: Then: replace the state by this snapshot, if there is one.
+    #: Then: replace the state by this snapshot, if it is not None.
     installed: Snapshot | None = None
     #: Then: apply these entries in order.
     committed: tuple[LogEntry, ...] = ()
-    #: Then: answer these reads.
+    #: Then: run these reads.
     reads: tuple[ReadReady, ...] = ()
-    #: Reads that can't be answered here any more.
+    #: References of reads that failed because leadership was lost.
     failed_reads: tuple[int, ...] = ()
--- a/packages/damsonlane/src/damsonlane/agreement/_reads.py
+++ b/packages/damsonlane/src/damsonlane/agreement/_reads.py
@@ -1,4 +1,4 @@
-"""Reads that wait until a quorum confirms that the leader still leads."""
+"""Reads that wait until a quorum confirms the leadership."""
 
 from dataclasses import dataclass
 
@@ -12,23 +12,23 @@
 
 
 class WaitingReads:
-    """Reads by the confirmation round that was started for them."""
+    """Pending reads, each with the confirmation round that it waits for."""
 
     def __init__(self) -> None:
         self._waiting: list[_WaitingRead] = []
 
     def add(self, number: int, reference: int) -> None:
-        """Let a read wait for a round."""
+        """Add a read that waits for a round."""
         self._waiting.append(_WaitingRead(round=number, reference=reference))
 
     def take_confirmed(self, confirmed: int, index: int) -> list[ReadReady]:
-        """Take the reads whose rounds are confirmed; the state must have reached ``index``."""
+        """Remove and return the reads whose rounds are confirmed, to run at ``index``."""
         ready = [read for read in self._waiting if read.round <= confirmed]
         self._waiting = [read for read in self._waiting if read.round > confirmed]
         return [ReadReady(reference=read.reference, index=index) for read in ready]
 
     def take_all(self) -> list[int]:
-        """Take the references of all reads, which fail."""
+        """Remove all reads and return their references."""
         references = [read.reference for read in self._waiting]
         self._waiting.clear()
         return references
--- a/packages/damsonlane/src/damsonlane/agreement/_repair.py
+++ b/packages/damsonlane/src/damsonlane/agreement/_repair.py
@@ -1,4 +1,4 @@
-"""Which changes of its members a group needs, without an operator."""
+"""Membership changes that the group makes by itself, without an operator."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
@@ -7,61 +7,62 @@
 from damsonlane.agreement._messages import Member, Members
 from damsonlane.agreement._replica import Replica
 
-#: Seconds of silence after which a learner, or a voter beyond the wanted number, is removed.
+#: Seconds without a reply after which a learner or a surplus voter is removed.
 SILENCE_SECONDS: Final = 2.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class Applicant:
-    """A replica that asks a leader where it stands."""
+    """A replica that asks a leader to be a member of the group."""
 
-    #: Its name, drawn anew when its disk was lost.
+    #: Name of the replica; it gets a new one after the loss of its disk.
     replica: str
-    #: Internal address of its box, which stays.
+    #: Internal address of its box; it stays the same after the loss of its disk.
     address: str
-    #: Identity of the group that it knows; empty when it has none.
+    #: Identity of the group that it has stored, or an empty string.
     cluster: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class Admission:
-    """A replica is let in, as a learner first."""
+    """Addition of a member, as a learner."""
 
-    #: The new member.
+    #: The member to add.
     member: Member
 
 
 @dataclass(frozen=True, kw_only=True)
 class Removal:
-    """A member is removed."""
+    """Removal of a member."""
 
-    #: The member.
+    #: The member to remove.
     member: Member
-    #: Why, for a person.
+    #: Reason for the log message.
     reason: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class Verdict:
-    """Where an applicant stands, as a leader sees it."""
+    """A leader's decision on an applicant."""
 
-    #: Whether it was a member and was removed, so that it must start anew.  Only
-    #: a leader that a quorum confirms may say so: the applicant empties its disk.
+    #: Whether it was removed from the group and must start again as a new replica.
+    #: The applicant then erases its disk, so only a leader that a quorum confirms
+    #: may report this.
     is_outsider: bool = False
-    #: The change of the group that lets it in, or the first of two; None where it
-    #: is in already.
+    #: The membership change that admits it, or the first of two; None if it is
+    #: already a member or was removed.
     change: Admission | Removal | None = None
 
 
 def judge_applicant(members: Members, applicant: Applicant) -> Verdict:
-    """Tell where an applicant stands.
+    """Decide which membership change an applicant needs.
 
-    A box that comes back without its disk has a new name at its old address, so
-    the old name is removed first and the new one let in when it asks again.
+    A box that lost its disk returns with a new name at its old address.  The old
+    name is removed first; the new one is added when the box asks again.
 
     Args:
-        members: the group as its leader knows it.
-        applicant: who asks.
+        members: the leader's current members.
+        applicant: the replica that asks.
     """
     if any(member.replica == applicant.replica for member in members.everyone()):
         return Verdict()
@@ -69,17 +70,17 @@
         return Verdict(is_outsider=True)
     for member in members.everyone():
         if member.address == applicant.address:
-            reason = "its box came back without its disk"
+            reason = "its box restarted without its disk"
             return Verdict(change=Removal(member=member, reason=reason))
     admitted = Member(replica=applicant.replica, address=applicant.address)
     return Verdict(change=Admission(member=admitted))
 
 
 def may_say_outsider(replica: Replica) -> bool:
-    """Tell whether a confirmed leader's list of members is final.
+    """Return whether a confirmed leader may tell a replica that it was removed.
 
-    A removal that is not committed may be undone by another leader, for whom the
-    applicant still votes and holds what was accepted.
+    An uncommitted removal may be undone by another leader, for which the applicant
+    is still a voter whose log is needed.
     """
     return replica.is_leader and replica.is_members_committed()
 
@@ -87,28 +88,29 @@
 def find_gone(
     members: Members, silence_of: Callable[[str], float], wanted_voters: int
 ) -> Removal | None:
-    """Return the member that a leader should remove, or None.
+    """Return the member that the leader should remove, or None.
 
-    A silent voter stays until more vote than are wanted: a slow or cut off box
-    comes back, and a vote lost for nothing makes the group weaker.
+    A voter that does not reply stays until there are more voters than wanted: a slow
+    or partitioned box may return, and removing it would only reduce the fault
+    tolerance of the group.
 
     Args:
-        members: the group.
-        silence_of: returns the seconds since a member was last heard.
-        wanted_voters: voters that the group should have.
+        members: the leader's current members.
+        silence_of: returns the seconds since a member last replied.
+        wanted_voters: number of voters that the group should have.
     """
-    silent = [m for m in members.learners if silence_of(m.replica) > SILENCE_SECONDS]
-    if silent:
-        return Removal(member=silent[0], reason="it fell silent while learning")
+    silent_learners = [m for m in members.learners if silence_of(m.replica) > SILENCE_SECONDS]
+    if silent_learners:
+        return Removal(member=silent_learners[0], reason="the learner stopped replying")
     if len(members.voters) <= wanted_voters:
         return None
-    longest = max(members.voters, key=lambda member: silence_of(member.replica))
-    if silence_of(longest.replica) <= SILENCE_SECONDS:
+    most_silent = max(members.voters, key=lambda member: silence_of(member.replica))
+    if silence_of(most_silent.replica) <= SILENCE_SECONDS:
         return None
-    reason = "it is silent and more replicas vote than are wanted"
-    return Removal(member=longest, reason=reason)
+    reason = "the voter stopped replying and the group has more voters than wanted"
+    return Removal(member=most_silent, reason=reason)
 
 
 def may_found(own_address: str, seeds: Sequence[str], *, is_first_start: bool) -> bool:
-    """Tell whether a box that knows no group founds one: the least of the seeds, once."""
+    """Return whether a box without a group founds one: the lowest seed, at the first start."""
     return is_first_start and own_address == min(seeds)
--- a/packages/damsonlane/src/damsonlane/agreement/_replica.py
+++ b/packages/damsonlane/src/damsonlane/agreement/_replica.py
@@ -1,8 +1,9 @@
-"""One replica of the agreement: a state machine of events to outputs.
+"""One Raft replica as a state machine from events to outputs.
 
-The algorithm is the replicated log of Ongaro and Ousterhout ("In Search of an
-Understandable Consensus Algorithm", 2014) with trial votes, learners and
-changes of one member at a time.  Time and randomness are passed in.
+The algorithm is that of Ongaro and Ousterhout ("In Search of an Understandable
+Consensus Algorithm", 2014) with pre-votes (called trials in the messages),
+learners and membership changes of one member at a time.  The caller passes in
+time and randomness.
 """
 
 import random
@@ -34,31 +35,34 @@
 from damsonlane.agreement._stored import Stored
 from damsonlane.errors import AgreementError, NotLeaderError
 
-#: Heartbeats a leader sends in one election time.
+#: Heartbeats that a leader sends per election timeout.
 HEARTBEATS_PER_ELECTION: Final = 4
-#: Shares of an election time between which a replica campaigns that has heard no leader
-#: since it started.  When all were killed no leader is left to wait for, and entries
-#: serve nobody until there is one.  A trial disturbs no leader that the others hear.
-STARTING_SHARES: Final = (0.1, 0.6)
-#: Most entries in one message.
+#: Bounds of the first election timeout after a start, as fractions of the election time.
+#: It is shorter than later ones, since after a crash of the whole group there is no leader
+#: to wait for.  The pre-vote prevents a restarted replica from disturbing a leader that
+#: the others can reach.
+INITIAL_ELECTION_RANGE: Final = (0.1, 0.6)
+#: Maximum number of entries in one message.
 ENTRIES_PER_MESSAGE: Final = 512
-#: Heartbeats to wait before a snapshot is sent again.
-SNAPSHOT_PATIENCE: Final = 20
+#: Heartbeat intervals without a reply after which a snapshot is sent again.
+SNAPSHOT_RETRY_HEARTBEATS: Final = 20
 
 Standing = Literal["follower", "trial", "candidate", "leader"]
 
 
 class Replica:
-    """A replica; call its methods from one thread and carry out what they return.
+    """A replica of the group.
+
+    Call its methods from one thread, and carry out each output that they return.
 
     Args:
         cluster: identity of the group.
         name: name of this replica.
-        stored: what its disk holds.
+        stored: the persistent state on its disk.
         election_seconds: shortest time without a leader before an election.
-        randomness: source of election delays.
-        now: the clock, in seconds.
-        entries_per_message: most entries in one message.
+        randomness: source of election timeouts.
+        now: current time of the local clock, in seconds.
+        entries_per_message: maximum number of entries in one message.
     """
 
     def __init__(
@@ -86,12 +90,12 @@
         self._randomness = randomness
         self._entries_per_message = entries_per_message
         self._now = now
-        self._heard_leader_at = float("-inf")
+        self._leader_contact_at = float("-inf")
         self._has_known_leader = False
-        self._as_new_as = float("-inf")
+        self._current_as_of = float("-inf")
         self._election_due = 0.0
         self._heartbeat_due = 0.0
-        self._quorum_due = 0.0
+        self._quorum_check_due = 0.0
         self._votes: set[str] = set()
         self._followers = Followers()
         self._round = 0
@@ -99,11 +103,11 @@
         self._outbox = self._make_outbox()
         self._reset_election()
 
-    # What others may ask.
+    # Queries.
 
     @property
     def members(self) -> Members:
-        """The group in force here: the latest in the log, committed or not."""
+        """Latest members in the log, committed or not."""
         entry = self._log.members_entry()
         if entry is not None and isinstance(entry.body, Members):
             return entry.body
@@ -111,7 +115,7 @@
 
     @property
     def last_index(self) -> int:
-        """Index of the last entry."""
+        """Index of the last entry in the log."""
         return self._log.last_index
 
     @property
@@ -121,22 +125,22 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether this replica leads, as far as it knows."""
+        """Whether this replica believes that it is the leader."""
         return self.standing == "leader"
 
     def leader_address(self) -> str:
-        """Return the leader's address, or an empty string."""
+        """Return the leader's address, or an empty string if it is not known."""
         for member in self.members.everyone():
             if member.replica == self.leader:
                 return member.address
         return ""
 
     def is_members_committed(self) -> bool:
-        """Tell whether the group in force here can't be undone by another leader."""
+        """Return whether the latest members are committed, so that no leader can undo them."""
         entry = self._log.members_entry()
         return entry is None or entry.index <= self.commit
 
-    def match_of(self, replica: str) -> int:
+    def match_index(self, replica: str) -> int:
         """Return the highest index known to be synced at a replica (leader only)."""
         if replica == self.name:
             return self._synced
@@ -144,39 +148,39 @@
         return progress.match if progress else 0
 
     def state_age(self, now: float) -> float:
-        """Return how old the committed state here may be at a moment, in seconds.
+        """Return an upper bound on the staleness of the committed state, in seconds.
 
-        Whatever was acknowledged longer ago than this is in it.  At the leader
-        it is the time since a quorum was last heard; a follower adds the time
-        since the leader told it, in a message with which it caught up.  Infinite
-        when neither is known.
+        Everything acknowledged longer ago than this is in the state.  At the leader
+        the bound is the time since a quorum last replied.  A follower takes the bound
+        from the last message of the leader that brought it up to date, and adds the
+        time since then.  Infinite when neither is known.
         """
         if self.is_leader:
             if self._log.term_at(self.commit) != self.term:
                 return float("inf")
-            return now - self._followers.quorum_heard_at(self.members, self.name, self._now)
-        return now - self._as_new_as if self.leader else float("inf")
+            return now - self._followers.quorum_contact_at(self.members, self.name, self._now)
+        return now - self._current_as_of if self.leader else float("inf")
 
     def silence_of(self, replica: str) -> float:
-        """Return the seconds since a member was last heard (leader only)."""
+        """Return the seconds since a member last replied (leader only)."""
         if replica == self.name:
             return 0.0
         progress = self._followers.find(replica)
-        return self._now - progress.heard_at if progress else float("inf")
+        return self._now - progress.last_reply_at if progress else float("inf")
 
     # Events.
 
     def tick(self, now: float) -> Output:
-        """Let time pass."""
+        """Advance the clock and start what is due: an election, heartbeats or the quorum check."""
         self._now = max(self._now, now)
         if self.standing == "leader":
             self._tick_leader()
         elif self._now >= self._election_due:
-            self._start_trial()
+            self._start_pre_vote()
         return self._take_output()
 
     def receive(self, now: float, envelope: Envelope) -> Output:
-        """Take a message; one for another group or replica is ignored."""
+        """Process a message; one for another group or replica is ignored."""
         self._now = max(self._now, now)
         if envelope.cluster == self.cluster and envelope.receiver == self.name:
             self._receive(envelope.sender, envelope.message)
@@ -186,11 +190,11 @@
         """Append commands as the leader.
 
         Returns:
-            The output and the entries, which count once they come back as
-            committed with the same index and term.
+            The output and the new entries.  A command is committed only once an output
+            contains its entry as committed, with the same index and term.
 
         Raises:
-            NotLeaderError: another replica leads.
+            NotLeaderError: this replica is not the leader.
         """
         self._now = max(self._now, now)
         self._require_leader()
@@ -199,10 +203,14 @@
         return self._take_output(), entries
 
     def read(self, now: float, reference: int) -> Output:
-        """Ask to read the state as it is after this moment.
+        """Start a linearizable read, confirmed by a round of messages to a quorum.
+
+        Args:
+            now: current time of the local clock, in seconds.
+            reference: identifies the read in the output that completes or fails it.
 
         Raises:
-            NotLeaderError: another replica leads.
+            NotLeaderError: this replica is not the leader.
         """
         self._now = max(self._now, now)
         self._require_leader()
@@ -213,11 +221,11 @@
         return self._take_output()
 
     def add_learner(self, now: float, member: Member) -> Output:
-        """Let a replica learn; it becomes a voter by itself once it holds the log.
+        """Add a learner, which is promoted to voter once it holds every committed entry.
 
         Raises:
-            NotLeaderError: another replica leads.
-            AgreementError: another change is under way, or it is a member.
+            NotLeaderError: this replica is not the leader.
+            AgreementError: another membership change is in progress, or it is already a member.
         """
         self._now = max(self._now, now)
         self._require_change_allowed()
@@ -230,9 +238,9 @@
         """Remove a member; its vote stops counting at once.
 
         Raises:
-            NotLeaderError: another replica leads.
-            AgreementError: another change is under way, it is no member, or
-                it is the last voter.
+            NotLeaderError: this replica is not the leader.
+            AgreementError: another membership change is in progress, it is not a
+                member, or it is the last voter.
         """
         self._now = max(self._now, now)
         self._require_change_allowed()
@@ -245,17 +253,20 @@
         return self._take_output()
 
     def acknowledge_persist(self) -> Output:
-        """Hear that everything in the last output's `Persist` is synced."""
+        """Record that everything in the last output's `Persist` is synced."""
         self._synced = self._log.last_index
         if self.standing == "leader":
             self._advance_commit()
         return self._take_output()
 
     def compact(self, state: str, index: int) -> Snapshot:
-        """Let a snapshot of the state after ``index`` stand for the log up to it.
+        """Replace the log up to ``index`` by a snapshot of the state after that entry.
 
         Returns:
-            The snapshot, which the caller writes together with `tail`.
+            The snapshot; the caller writes it to disk with the entries that follow it.
+
+        Raises:
+            AgreementError: the entry is not in the log.
         """
         term = self._log.term_at(index)
         if term is None:
@@ -266,7 +277,7 @@
         return snapshot
 
     def stored(self) -> Stored:
-        """Return all that the disk should hold now."""
+        """Return everything that the disk should hold now."""
         return Stored(
             hard_state=HardState(term=self.term, voted_for=self.voted_for),
             snapshot=self._log.snapshot,
@@ -275,7 +286,7 @@
 
     # Elections.
 
-    def _start_trial(self) -> None:
+    def _start_pre_vote(self) -> None:
         if not self._may_campaign():
             self._reset_election()
             return
@@ -283,31 +294,32 @@
         self.leader = ""
         self._votes = {self.name}
         self._reset_election()
-        self._ask_for_votes(self.term + 1, is_trial=True)
+        self._request_votes(self.term + 1, is_trial=True)
         self._count_votes()
 
     def _may_campaign(self) -> bool:
-        """Tell whether this replica votes, or did before a change that is not committed.
+        """Return whether this replica is a voter, or was before an uncommitted change.
 
-        Its log may be the longest, and then nobody else could be elected.  It
-        counts only the votes of the new group, so not its own.
+        A replica that an uncommitted change removes may have the longest log, in
+        which case nobody else can be elected.  Only votes of the new members count,
+        so its own does not.
         """
         entry = self._log.members_entry()
         if self.members.is_voter(self.name) or entry is None or entry.index <= self.commit:
             return self.members.is_voter(self.name)
         return self._log.members_at(entry.index - 1).is_voter(self.name)
 
-    def _start_candidacy(self) -> None:
+    def _start_election(self) -> None:
         self.standing = "candidate"
         self.term += 1
         self.voted_for = self.name
         self._outbox.has_new_hard_state = True
         self._votes = {self.name}
         self._reset_election()
-        self._ask_for_votes(self.term, is_trial=False)
+        self._request_votes(self.term, is_trial=False)
         self._count_votes()
 
-    def _ask_for_votes(self, term: int, *, is_trial: bool) -> None:
+    def _request_votes(self, term: int, *, is_trial: bool) -> None:
         request = VoteRequest(
             term=term,
             last_index=self._log.last_index,
@@ -322,18 +334,18 @@
         if granted < self.members.quorum():
             return
         if self.standing == "trial":
-            self._start_candidacy()
+            self._start_election()
         elif self.standing == "candidate":
-            self._start_leading()
+            self._become_leader()
 
-    def _start_leading(self) -> None:
+    def _become_leader(self) -> None:
         self.standing = "leader"
         self.leader = self.name
         self._has_known_leader = True
         self._followers.clear()
-        self._follow_members()
+        self._update_followers()
         self._append(Noop())
-        self._quorum_due = self._now + self._election_seconds
+        self._quorum_check_due = self._now + self._election_seconds
         self._heartbeat_due = self._now + self._election_seconds / HEARTBEATS_PER_ELECTION
         self._broadcast()
 
@@ -344,12 +356,12 @@
             self._outbox.has_new_hard_state = True
         self.standing = "follower"
         self.leader = leader
-        self._as_new_as = float("-inf")
+        self._current_as_of = float("-inf")
         self._outbox.failed.extend(self._reads.take_all())
         self._reset_election()
 
     def _reset_election(self) -> None:
-        low, high = (1.0, 2.0) if self._has_known_leader else STARTING_SHARES
+        low, high = (1.0, 2.0) if self._has_known_leader else INITIAL_ELECTION_RANGE
         share = self._randomness.uniform(low, high)
         self._election_due = self._now + share * self._election_seconds
 
@@ -365,7 +377,7 @@
         elif message.term < self.term:
             self._reply_append(sender, message.round, is_success=False, match=0)
         else:
-            self._hear_leader(sender, message.term)
+            self._record_leader_contact(sender, message.term)
             if isinstance(message, AppendRequest):
                 self._receive_append(sender, message)
             else:
@@ -373,14 +385,14 @@
 
     def _receive_vote_request(self, sender: str, request: VoteRequest) -> None:
         if request.is_trial:
-            self._receive_trial(sender, request)
+            self._receive_pre_vote(sender, request)
             return
         if request.term > self.term:
             self._step_down(request.term)
         is_granted = (
             request.term == self.term
             and self.voted_for in ("", sender)
-            and self._is_current(request)
+            and self._is_log_up_to_date(request)
         )
         if is_granted:
             self.voted_for = sender
@@ -388,15 +400,17 @@
             self._reset_election()
         self._outbox.send(sender, VoteReply(term=self.term, is_granted=is_granted, is_trial=False))
 
-    def _receive_trial(self, sender: str, request: VoteRequest) -> None:
+    def _receive_pre_vote(self, sender: str, request: VoteRequest) -> None:
         has_leader = self.is_leader or (
-            self._now - self._heard_leader_at < self._election_seconds and self.leader != ""
+            self._now - self._leader_contact_at < self._election_seconds and self.leader != ""
+        )
+        is_granted = (
+            request.term > self.term and self._is_log_up_to_date(request) and not has_leader
         )
-        is_granted = request.term > self.term and self._is_current(request) and not has_leader
         term = request.term if is_granted else self.term
         self._outbox.send(sender, VoteReply(term=term, is_granted=is_granted, is_trial=True))
 
-    def _is_current(self, request: VoteRequest) -> bool:
+    def _is_log_up_to_date(self, request: VoteRequest) -> bool:
         own = (self._log.last_term, self._log.last_index)
         return (request.last_term, request.last_index) >= own
 
@@ -411,22 +425,22 @@
             self._votes.add(sender)
             self._count_votes()
 
-    def _hear_leader(self, sender: str, term: int) -> None:
+    def _record_leader_contact(self, sender: str, term: int) -> None:
         if term > self.term or self.standing != "follower":
             self._step_down(term, sender)
         self.leader = sender
         self._has_known_leader = True
-        self._heard_leader_at = self._now
+        self._leader_contact_at = self._now
         self._reset_election()
 
     def _receive_append(self, sender: str, request: AppendRequest) -> None:
-        first_kept = self._log.snapshot.index
-        if request.previous_index < first_kept:
-            # Entries inside the snapshot are committed, so they match; the rest follows them.
-            entries = tuple(entry for entry in request.entries if entry.index > first_kept)
-            covers = request.previous_index + len(request.entries) >= first_kept
-            if not covers:
-                self._reply_append(sender, request.round, is_success=True, match=first_kept)
+        snapshot_index = self._log.snapshot.index
+        if request.previous_index < snapshot_index:
+            # Entries inside the snapshot are committed and so match; append only later ones.
+            entries = tuple(entry for entry in request.entries if entry.index > snapshot_index)
+            reaches_snapshot = request.previous_index + len(request.entries) >= snapshot_index
+            if not reaches_snapshot:
+                self._reply_append(sender, request.round, is_success=True, match=snapshot_index)
                 return
         elif self._log.term_at(request.previous_index) != request.previous_term:
             hint = min(request.previous_index - 1, self._log.last_index)
@@ -434,15 +448,15 @@
             return
         else:
             entries = request.entries
-        self._store(entries)
-        match = max(request.previous_index + len(request.entries), first_kept)
+        self._store_entries(entries)
+        match = max(request.previous_index + len(request.entries), snapshot_index)
         self._raise_commit(min(request.commit, match))
-        # Only a replica that holds all the leader has committed is as new as the leader.
+        # A replica that lacks entries committed by the leader is staler than the leader says.
         if request.quorum_age is not None and self.commit >= request.commit:
-            self._as_new_as = self._now - request.quorum_age
+            self._current_as_of = self._now - request.quorum_age
         self._reply_append(sender, request.round, is_success=True, match=match)
 
-    def _store(self, entries: Sequence[LogEntry]) -> None:
+    def _store_entries(self, entries: Sequence[LogEntry]) -> None:
         for entry in entries:
             term = self._log.term_at(entry.index)
             if term == entry.term:
@@ -450,7 +464,7 @@
             if term is not None:
                 self._log.truncate_from(entry.index)
             self._log.append(entry)
-            self._outbox.note_unsynced(entry.index)
+            self._outbox.mark_unsynced(entry.index)
 
     def _receive_snapshot(self, sender: str, request: SnapshotRequest) -> None:
         snapshot = request.snapshot
@@ -474,7 +488,7 @@
         progress = self._followers.find(sender)
         if self.standing != "leader" or reply.term < self.term or progress is None:
             return
-        progress.heard_at = self._now
+        progress.last_reply_at = self._now
         progress.round = max(progress.round, reply.round)
         if reply.is_success:
             progress.match = max(progress.match, reply.match)
@@ -491,27 +505,27 @@
     # Leading.
 
     def _tick_leader(self) -> None:
-        if self._now >= self._quorum_due:
-            if not self._has_heard_quorum():
+        if self._now >= self._quorum_check_due:
+            if not self._has_quorum_contact():
                 self._step_down(self.term)
                 return
-            self._quorum_due = self._now + self._election_seconds
+            self._quorum_check_due = self._now + self._election_seconds
         if self._now < self._heartbeat_due:
             return
         interval = self._election_seconds / HEARTBEATS_PER_ELECTION
         self._heartbeat_due = self._now + interval
-        self._followers.restart_silent(self._now - 2 * interval)
+        self._followers.rewind_silent(self._now - 2 * interval)
         self._broadcast()
 
-    def _has_heard_quorum(self) -> bool:
+    def _has_quorum_contact(self) -> bool:
         since = self._now - self._election_seconds
-        heard = self._followers.count_heard(self.members, self.name, since)
-        return heard >= self.members.quorum()
+        responsive = self._followers.count_responsive(self.members, self.name, since)
+        return responsive >= self.members.quorum()
 
     def _append(self, body: Body) -> LogEntry:
         entry = LogEntry(index=self._log.last_index + 1, term=self.term, body=body)
         self._log.append(entry)
-        self._outbox.note_unsynced(entry.index)
+        self._outbox.mark_unsynced(entry.index)
         return entry
 
     def _broadcast(self) -> None:
@@ -534,18 +548,20 @@
             entries=self._log.between(progress.next_index, last),
             commit=self.commit,
             round=self._round,
-            quorum_age=self._tell_quorum_age(),
+            quorum_age=self._find_quorum_age(),
         )
         progress.next_index = last + 1
         self._outbox.send(replica, request)
 
-    def _tell_quorum_age(self) -> float | None:
+    def _find_quorum_age(self) -> float | None:
         age = self.state_age(self._now)
         return age if age < float("inf") else None
 
     def _send_snapshot(self, replica: str, progress: Progress) -> None:
-        patience = SNAPSHOT_PATIENCE * self._election_seconds / HEARTBEATS_PER_ELECTION
-        if self._now - progress.snapshot_at < patience:
+        retry_interval = (
+            SNAPSHOT_RETRY_HEARTBEATS * self._election_seconds / HEARTBEATS_PER_ELECTION
+        )
+        if self._now - progress.snapshot_at < retry_interval:
             return
         progress.snapshot_at = self._now
         snapshot = self._log.snapshot
@@ -554,8 +570,8 @@
         )
 
     def _advance_commit(self) -> None:
-        reached = find_majority(self.members, self.match_of)
-        # Only an entry of the leader's own term is committed by counting replicas.
+        reached = find_majority(self.members, self.match_index)
+        # Raft: only entries of the leader's own term are committed by counting replicas.
         if reached > self.commit and self._log.term_at(reached) == self.term:
             self._raise_commit(reached)
             self._answer_reads()
@@ -577,7 +593,7 @@
         progress = self._followers.find(replica)
         return progress.round if progress else 0
 
-    # Changes of the group.
+    # Membership changes.
 
     def _require_leader(self) -> None:
         if self.standing != "leader":
@@ -594,18 +610,18 @@
 
     def _change_members(self, members: Members) -> None:
         self._append(members)
-        self._follow_members()
+        self._update_followers()
         self._broadcast()
 
-    def _follow_members(self) -> None:
+    def _update_followers(self) -> None:
         next_index = self._log.last_index + 1
-        self._followers.follow(self.members, self.name, next_index, self._now)
+        self._followers.set_members(self.members, self.name, next_index, self._now)
 
     def _promote(self, replica: str) -> None:
-        """Make a learner a voter once it holds every committed entry."""
+        """Promote a learner to voter if it holds every committed entry."""
         if not self.members.is_learner(replica) or not self._is_change_allowed():
             return
-        if self.match_of(replica) >= self.commit:
+        if self.match_index(replica) >= self.commit:
             self._change_members(self.members.with_promoted(replica))
 
     # Output.
--- a/packages/damsonlane/src/damsonlane/agreement/_stored.py
+++ b/packages/damsonlane/src/damsonlane/agreement/_stored.py
@@ -1,4 +1,4 @@
-"""What a replica has on its disk."""
+"""Persistent state of a replica."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -6,23 +6,23 @@
 from damsonlane.agreement._messages import HardState, LogEntry, Members, Snapshot
 from damsonlane.agreement._output import Persist
 
-#: The snapshot of a folder that holds nothing.
+#: Snapshot of an empty data folder.
 EMPTY_SNAPSHOT: Final = Snapshot(index=0, term=0, members=Members(voters=()), state="")
 
 
 @dataclass(frozen=True, kw_only=True)
 class Stored:
-    """Everything that a replica must find again after a crash."""
+    """Everything that must survive a crash of the replica."""
 
-    #: Term and vote.
+    #: Current term and vote.
     hard_state: HardState
     #: Last snapshot.
     snapshot: Snapshot
-    #: Entries after it.
+    #: Entries after the snapshot.
     entries: tuple[LogEntry, ...] = ()
 
     def with_persist(self, persist: Persist) -> "Stored":
-        """Return what is stored after a write."""
+        """Return the persistent state after a write."""
         snapshot = self.snapshot
         entries = list(self.entries)
         if persist.snapshot is not None:
--- a/packages/damsonlane/src/damsonlane/agreement/tests/group.py
+++ b/packages/damsonlane/src/damsonlane/agreement/tests/group.py
@@ -1,4 +1,4 @@
-"""A group of replicas with a small network and small disks, all in memory."""
+"""A group of replicas with a simulated network and disks in memory."""
 
 import random
 from collections.abc import Callable
@@ -38,46 +38,48 @@
 
 
 class Fault(Enum):
-    """Faults that can be planted, to show that the machine finds them."""
+    """Faults that can be injected, to show that the state machine test finds them."""
 
     NONE = "none"
-    VOTE_BEFORE_SYNC = "messages leave before the disk has synced"
+    VOTE_BEFORE_SYNC = "messages are sent before the disk has synced"
     FORGET_CHANGE_IDS = "a snapshot loses the change ids"
-    EMPTY_FOLDER_VOTES = "an emptied folder votes under its old name"
-    READ_WITHOUT_QUORUM = "a leader answers reads without asking a quorum"
-    CHANGE_WITHOUT_OWN_ENTRY = "a member change without an entry of the leader's own term"
-    COMMIT_OLD_TERM = "an entry of an older term is committed by counting"
+    EMPTY_FOLDER_VOTES = "a replica with an erased disk votes under its old name"
+    READ_WITHOUT_QUORUM = "a leader answers reads without confirmation by a quorum"
+    CHANGE_WITHOUT_OWN_ENTRY = (
+        "a membership change before an entry of the leader's own term is committed"
+    )
+    COMMIT_OLD_TERM = "an entry of an older term is committed by counting replicas"
     COUNT_UNSYNCED = "a leader counts its own entries before they are synced"
-    OUTSIDER_AT_ONCE = "a replica empties its disk on the word of a leader nobody confirmed"
-    VOTER_GIVEN_UP = "a silent voter is removed though no other took its place"
+    OUTSIDER_AT_ONCE = "a replica erases its disk on a report of a leader that no quorum confirmed"
+    VOTER_GIVEN_UP = "a silent voter is removed before another one has replaced it"
 
 
-class _ReadsAtOnce(Replica):
-    """A replica with the planted fault of unconfirmed reads."""
+class _ReadsUnconfirmed(Replica):
+    """Answers reads without confirmation by a quorum."""
 
     def _answer_reads(self) -> None:
         self._outbox.ready.extend(self._reads.take_confirmed(self._round, self.commit))
 
 
-class _ChangesAtOnce(Replica):
-    """A replica with the planted fault of changes before an entry of its own."""
+class _ChangesMembersTooEarly(Replica):
+    """Changes members before an entry of its own term is committed."""
 
     def _is_change_allowed(self) -> bool:
         return self.is_members_committed()
 
 
 class _CommitsOldTerms(Replica):
-    """A replica with the planted fault of commits by counting alone."""
+    """Commits entries of older terms by counting replicas."""
 
     def _advance_commit(self) -> None:
-        self._raise_commit(find_majority(self.members, self.match_of))
+        self._raise_commit(find_majority(self.members, self.match_index))
 
 
 class _CountsUnsynced(Replica):
-    """A replica with the planted fault of counting itself too early."""
+    """Counts its own entries before they are synced."""
 
-    def match_of(self, replica: str) -> int:
-        return self.last_index if replica == self.name else super().match_of(replica)
+    def match_index(self, replica: str) -> int:
+        return self.last_index if replica == self.name else super().match_index(replica)
 
     def _append(self, body: object) -> LogEntry:
         entry = super()._append(body)  # type: ignore[arg-type]
@@ -85,9 +87,9 @@
         return entry
 
 
-_SHAPES: dict[Fault, type[Replica]] = {
-    Fault.READ_WITHOUT_QUORUM: _ReadsAtOnce,
-    Fault.CHANGE_WITHOUT_OWN_ENTRY: _ChangesAtOnce,
+_REPLICA_CLASSES: dict[Fault, type[Replica]] = {
+    Fault.READ_WITHOUT_QUORUM: _ReadsUnconfirmed,
+    Fault.CHANGE_WITHOUT_OWN_ENTRY: _ChangesMembersTooEarly,
     Fault.COMMIT_OLD_TERM: _CommitsOldTerms,
     Fault.COUNT_UNSYNCED: _CountsUnsynced,
 }
@@ -95,7 +97,7 @@
 
 @dataclass
 class Disk:
-    """What a box keeps through a crash."""
+    """State of a box that survives a crash."""
 
     stored: Stored = field(
         default_factory=lambda: Stored(hard_state=HardState(), snapshot=EMPTY_SNAPSHOT)
@@ -107,7 +109,7 @@
 
 @dataclass
 class PendingRead:
-    """A read that was asked and is not answered yet."""
+    """A read that is not answered yet."""
 
     least_version: int
     index: int | None = None
@@ -116,7 +118,7 @@
 
 
 class Box:
-    """One box: a replica with disk, clock and state."""
+    """A box that runs one replica, with its disk, clock and applied state."""
 
     def __init__(self, group: "Group", name: str, stored: Stored | None = None) -> None:
         self.group = group
@@ -134,7 +136,7 @@
 
     def start(self) -> None:
         stored = self.disk.stored
-        shape = _SHAPES.get(self.group.fault, Replica)
+        shape = _REPLICA_CLASSES.get(self.group.fault, Replica)
         self.replica = shape(
             cluster=CLUSTER,
             name=self.name,
@@ -158,13 +160,13 @@
         return self.replica is not None and not self.is_frozen
 
     def act(self, step: Callable[[Replica], Output]) -> None:
-        """Take one step and carry out what it asks, perhaps crashing half way."""
+        """Take one step and carry out its output, crashing before the sync if `crashes_next`."""
         replica = self.replica
         if replica is not None and not self.is_frozen:
             self.carry_out(replica, step(replica))
 
     def carry_out(self, replica: Replica, output: Output) -> None:
-        self.group.note_leader(replica)
+        self.group.check_leader(replica)
         if self.group.fault in (Fault.VOTE_BEFORE_SYNC, Fault.COUNT_UNSYNCED):
             self.group.send(output.envelopes)
             if self.group.fault is Fault.COUNT_UNSYNCED:
@@ -207,30 +209,30 @@
         self._answer_reads()
 
     def _apply(self, entry: LogEntry) -> None:
-        self.group.note_committed(entry)
+        self.group.check_committed(entry)
         self.applied = entry.index
         if not isinstance(entry.body, Opaque):
             return
         reply = self.state.apply(decode_command(entry.body.text))
         term, command = self.waiters.pop(entry.index, (0, None))
         if command is not None and term == entry.term:
-            self.group.note_reply(command, reply)
+            self.group.check_reply(command, reply)
 
     def _answer_reads(self) -> None:
         for reference, read in list(self.reads.items()):
             if read.index is not None and self.applied >= read.index:
                 del self.reads[reference]
-                self.group.note_read(read, self.state.settings.version)
+                self.group.check_read(read, self.state.settings.version)
                 read.on_answer()
 
 
 class Group:
-    """All boxes, the messages under way, and what was promised to clients."""
+    """All boxes, the messages in transit, and the replies that clients received."""
 
     def __init__(self, size: int, fault: Fault, seed: int) -> None:
         self.fault = fault
         self.randomness = random.Random(seed)
-        # One entry a message lets entries of several terms arrive apart.
+        # With one entry per message, entries of different terms arrive separately.
         self.entries_per_message = self.randomness.choice([1, 512])
         self.flying: list[Envelope] = []
         self.cuts: set[tuple[str, str]] = set()
@@ -245,34 +247,34 @@
         stored = Stored(hard_state=HardState(term=1), snapshot=snapshot)
         self.boxes = {name: Box(self, name, stored) for name in names}
 
-    # What boxes report.
+    # Called by the boxes.
 
     def send(self, envelopes: tuple[Envelope, ...]) -> None:
         self.flying.extend(envelopes)
         del self.flying[:-400]
 
-    def note_leader(self, replica: Replica) -> None:
+    def check_leader(self, replica: Replica) -> None:
         if replica.is_leader:
             known = self.leaders.setdefault(replica.term, replica.name)
             assert known == replica.name, f"two leaders in term {replica.term}"
 
-    def note_committed(self, entry: LogEntry) -> None:
+    def check_committed(self, entry: LogEntry) -> None:
         known = self.committed.setdefault(entry.index, entry)
         assert known == entry, f"entry {entry.index} was committed twice, differently"
 
-    def note_reply(self, command: ChangeSettings, reply: Reply) -> None:
+    def check_reply(self, command: ChangeSettings, reply: Reply) -> None:
         known = self.answers.setdefault(command.change, reply)
-        assert known == reply, f"change {command.change} got two answers"
+        assert known == reply, f"change {command.change} got two different replies"
         if isinstance(reply, ChangeAccepted):
             known_change = self.accepted.setdefault(reply.version, command)
-            assert known_change.change == command.change, "two changes made one version"
+            assert known_change.change == command.change, "two changes produced the same version"
 
-    def note_read(self, read: PendingRead, version: int) -> None:
+    def check_read(self, read: PendingRead, version: int) -> None:
         assert version >= read.least_version, (
-            f"a current read gave version {version} after {read.least_version} was accepted"
+            f"a read returned version {version} after {read.least_version} was accepted"
         )
 
-    # What a test does.
+    # Called by the tests.
 
     def last_accepted(self) -> int:
         return max(self.accepted, default=0)
@@ -291,7 +293,7 @@
             box.act(lambda replica, box=box: replica.tick(box.clock))  # type: ignore[misc]
 
     def settle(self, rounds: int, until: Callable[[], bool] = lambda: False) -> None:
-        """Let time pass and messages arrive in order."""
+        """Advance the clocks and deliver messages in order."""
         for _ in range(rounds):
             if until():
                 return
@@ -348,7 +350,7 @@
         return True
 
     def leader(self) -> Box | None:
-        """Return the box that leads in the latest term, if one does."""
+        """Return the leader with the highest term, or None."""
         leading = [
             box
             for box in self.boxes.values()
@@ -357,16 +359,16 @@
         return max(leading, key=lambda box: box.replica.term if box.replica else 0, default=None)
 
     def check(self) -> None:
-        """Check what must hold at every moment."""
+        """Check the invariants of the applied state."""
         for box in self.boxes.values():
             history = box.state.settings.history()
             changes = [change.change for change in history]
             assert len(changes) == len(set(changes)), f"{box.name}: a change was applied twice"
             for applied in history:
-                promised = self.accepted.get(applied.version)
-                if promised is not None:
-                    assert promised.change == applied.change, (
-                        f"{box.name}: version {applied.version} is another change than accepted"
+                expected = self.accepted.get(applied.version)
+                if expected is not None:
+                    assert expected.change == applied.change, (
+                        f"{box.name}: version {applied.version} differs from the accepted change"
                     )
 
 
--- a/packages/damsonlane/src/damsonlane/agreement/tests/machine.py
+++ b/packages/damsonlane/src/damsonlane/agreement/tests/machine.py
@@ -1,4 +1,4 @@
-"""The stateful machine that drives a group through faults of every kind."""
+"""Hypothesis state machine that drives a group of replicas through faults."""
 
 from typing import Any
 
@@ -8,9 +8,9 @@
 from damsonlane.agreement import HardState, Member, Members, Snapshot, Stored
 from damsonlane.agreement.tests.group import ELECTION_SECONDS, Box, Disk, Fault, Group
 
-#: Times that a change is sent again after everything healed.
+#: Maximum number of attempts to send a change after all faults are healed.
 _MOST_RESENDS = 20
-#: Picks one of what there is, by the remainder.
+#: Selects one of a list of candidates, by the remainder.
 PICK = st.integers(min_value=0, max_value=1000)
 
 
@@ -175,7 +175,7 @@
         box.disk = Disk(Stored(hard_state=HardState(term=1), snapshot=snapshot))
         box.start()
 
-    # Sequences that are rare by chance and that the promises must survive.
+    # Sequences that single rules rarely produce.
 
     @rule(pick=PICK, reach=st.integers(0, 2), is_member_change=st.booleans())
     def leader_reaches_few(self, pick: int, reach: int, is_member_change: bool) -> None:
@@ -226,7 +226,7 @@
         self.group.settle(4)
         old.is_frozen = False
 
-    # Changes of the group.
+    # Membership changes.
 
     @rule(pick=PICK)
     def admit(self, pick: int) -> None:
@@ -256,7 +256,7 @@
         replica = box.replica
         return [member.replica for member in replica.members.everyone()] if replica else []
 
-    # What must hold.
+    # Invariants.
 
     @invariant()
     def promises_hold(self) -> None:
@@ -306,11 +306,11 @@
 
 
 def find_address(name: str) -> str:
-    """Return the address of a box, which every incarnation of it has."""
+    """Return the address of a box, which all its incarnations share."""
     return name.partition("+")[0]
 
 
-def make_machine(planted: Fault) -> type[GroupMachine]:
-    """Return a machine with a planted fault."""
-    namespace: dict[str, Any] = {"fault": planted}
-    return type(f"GroupMachineWith{planted.name.title()}", (GroupMachine,), namespace)
+def make_machine(injected: Fault) -> type[GroupMachine]:
+    """Return a state machine class whose replicas have the injected fault."""
+    namespace: dict[str, Any] = {"fault": injected}
+    return type(f"GroupMachineWith{injected.name.title()}", (GroupMachine,), namespace)
--- a/packages/damsonlane/src/damsonlane/agreement/tests/repair_machine.py
+++ b/packages/damsonlane/src/damsonlane/agreement/tests/repair_machine.py
@@ -1,4 +1,4 @@
-"""The stateful machine of a group that founds and repairs itself, without an operator."""
+"""Hypothesis state machine of a group that founds and repairs itself without an operator."""
 
 from typing import Any
 
@@ -23,7 +23,7 @@
 from damsonlane.agreement.tests.group import CLUSTER, Box, Fault
 from damsonlane.agreement.tests.machine import PICK, GroupMachine, find_address
 
-#: Rounds of asking and looking after which a healed group must be whole.
+#: Repair rounds after which all boxes of a healed group must be voters again.
 _MOST_REPAIRS = 80
 
 
@@ -52,7 +52,7 @@
             if self._is_whole():
                 break
 
-    # What boxes do by themselves.
+    # Actions of the boxes.
 
     @rule(pick=PICK, which=PICK)
     def ask(self, pick: int, which: int) -> None:
@@ -74,7 +74,7 @@
         if self._is_whole():
             self.lost = 0
 
-    # Losses.
+    # Lost disks and replaced boxes.
 
     @precondition(lambda self: self._may_lose())
     @rule(pick=PICK)
@@ -99,7 +99,7 @@
     def dismiss(self, pick: int, which: int) -> None:
         """No operator removes anybody here."""
 
-    # How.
+    # Helpers.
 
     def _may_lose(self) -> bool:
         if self.lost == 0 and not self._is_whole():
@@ -185,7 +185,7 @@
         name = f"{find_address(box.name)}+{self.incarnations}"
         self.group.boxes[name] = Box(self.group, name)
 
-    # What must hold.
+    # Invariants.
 
     def teardown(self) -> None:
         """Heal everything: the group must become whole and accept a change."""
@@ -212,7 +212,7 @@
 
 
 def _found(name: str) -> Stored:
-    """Return the disk of a box that has founded a group of one."""
+    """Return the persistent state of a box that founded a group of one."""
     member = Member(replica=name, address=name)
     snapshot = Snapshot(index=1, term=1, members=Members(voters=(member,)), state="")
     return Stored(hard_state=HardState(term=1), snapshot=snapshot)
@@ -227,7 +227,7 @@
     return box.replica.last_index if box.replica is not None else 0
 
 
-def make_repair_machine(planted: Fault) -> type[RepairMachine]:
-    """Return a machine with a planted fault."""
-    namespace: dict[str, Any] = {"fault": planted}
-    return type(f"RepairMachineWith{planted.name.title()}", (RepairMachine,), namespace)
+def make_repair_machine(injected: Fault) -> type[RepairMachine]:
+    """Return a state machine class with the injected fault."""
+    namespace: dict[str, Any] = {"fault": injected}
+    return type(f"RepairMachineWith{injected.name.title()}", (RepairMachine,), namespace)
--- a/packages/damsonlane/src/damsonlane/agreement/tests/test_machine.py
+++ b/packages/damsonlane/src/damsonlane/agreement/tests/test_machine.py
@@ -1,4 +1,4 @@
-"""The stateful machine finds no fault, and finds every planted one."""
+"""State machine test of a group of replicas, without and with injected faults."""
 
 import unittest
 
@@ -16,11 +16,11 @@
     database=None,
     suppress_health_check=list(HealthCheck),
 )
-#: Planted faults are searched for longer, and not shrunk.
+#: The search for injected faults uses more examples and does not shrink them.
 _SEARCH = settings(_SETTINGS, max_examples=3000, phases=[Phase.generate])
 
-#: The others need longer sequences; test_scripts plays them.
-_FOUND_BY_CHANCE = (
+#: Faults that random examples find; longer sequences are in test_scripts and test_repair.
+_FAULTS_FOUND_AT_RANDOM = (
     Fault.VOTE_BEFORE_SYNC,
     Fault.FORGET_CHANGE_IDS,
     Fault.EMPTY_FOLDER_VOTES,
@@ -30,11 +30,11 @@
 
 
 class MachineTest(unittest.TestCase):
-    def test_promises_hold(self) -> None:
+    def test_invariants_hold(self) -> None:
         run_state_machine_as_test(GroupMachine, settings=_SETTINGS)
 
-    def test_planted_faults_are_found(self) -> None:
-        for fault in _FOUND_BY_CHANCE:
+    def test_injected_faults_are_found(self) -> None:
+        for fault in _FAULTS_FOUND_AT_RANDOM:
             with self.subTest(fault=fault.name), self.assertRaises(AssertionError):
                 run_state_machine_as_test(make_machine(fault), settings=_SEARCH)
 
--- a/packages/damsonlane/src/damsonlane/agreement/tests/test_repair.py
+++ b/packages/damsonlane/src/damsonlane/agreement/tests/test_repair.py
@@ -1,4 +1,4 @@
-"""A group that founds and repairs itself: decisions one by one, and the stateful machine."""
+"""Founding and repair of a group: single decisions, and the state machine test."""
 
 import unittest
 
@@ -33,18 +33,18 @@
 
 
 class ApplicantTest(unittest.TestCase):
-    def test_where_each_applicant_stands(self) -> None:
+    def test_decision_on_each_applicant(self) -> None:
         cases = (
             ("a member", "a", "at-a", "group", Verdict()),
             ("a learner", "c", "at-c", "", Verdict()),
-            ("one that was removed", "x", "at-x", "group", Verdict(is_outsider=True)),
+            ("a removed replica", "x", "at-x", "group", Verdict(is_outsider=True)),
             ("a new box", "d", "at-d", "", Verdict(change=Admission(member=_D))),
             (
                 "a box without its disk",
                 "b2",
                 "at-b",
                 "",
-                Verdict(change=Removal(member=_B, reason="its box came back without its disk")),
+                Verdict(change=Removal(member=_B, reason="its box restarted without its disk")),
             ),
         )
         for name, replica, address, cluster, expected in cases:
@@ -53,13 +53,13 @@
                 self.assertEqual(judge_applicant(_GROUP, applicant), expected)
 
 
-class GoneMemberTest(unittest.TestCase):
-    def test_who_is_removed(self) -> None:
+class FindMemberToRemoveTest(unittest.TestCase):
+    def test_which_member_is_removed(self) -> None:
         cases: tuple[tuple[str, str, int, Member | None], ...] = (
-            ("nobody is silent", "", 1, None),
-            ("a learner", "c", 2, _C),
-            ("a voter too many", "b", 1, _B),
-            ("a voter that is needed", "b", 2, None),
+            ("no member is silent", "", 1, None),
+            ("a silent learner", "c", 2, _C),
+            ("a silent surplus voter", "b", 1, _B),
+            ("a silent voter that is needed", "b", 2, None),
         )
         for name, silent, wanted, expected in cases:
             with self.subTest(name):
@@ -72,11 +72,11 @@
 
 
 class FoundingTest(unittest.TestCase):
-    def test_only_the_least_seed_founds_and_only_at_the_first_start(self) -> None:
+    def test_only_the_lowest_seed_founds_and_only_at_the_first_start(self) -> None:
         cases = (
-            ("the least seed", "1", True, True),
+            ("the lowest seed", "1", True, True),
             ("another seed", "2", True, False),
-            ("no seed", "0", True, False),
+            ("not a seed", "0", True, False),
             ("a later start", "1", False, False),
         )
         for name, own, is_first_start, expected in cases:
@@ -87,29 +87,29 @@
 
 
 class MachineTest(unittest.TestCase):
-    def test_promises_hold_through_losses_and_repairs(self) -> None:
+    def test_invariants_hold_through_losses_and_repairs(self) -> None:
         run_state_machine_as_test(RepairMachine, settings=_SETTINGS)
 
-    def test_a_silent_voter_that_nobody_replaces_is_kept(self) -> None:
-        """Not met by chance in 6,000 examples, so the steps are played."""
+    def test_a_silent_voter_without_replacement_is_kept(self) -> None:
+        """Random examples rarely reach this sequence, so its steps are fixed."""
         for fault, is_lost in ((Fault.NONE, False), (Fault.VOTER_GIVEN_UP, True)):
             with self.subTest(fault=fault.name):
                 machine = make_repair_machine(fault)()
                 machine.found(3, seed=1)
-                _lose_a_disk_while_a_voter_is_silent(machine)
+                _lose_disk_while_voter_is_silent(machine)
                 if is_lost:
                     with self.assertRaises(AssertionError):
                         machine.teardown()
                 else:
                     machine.teardown()
 
-    def test_a_removal_that_may_be_undone_costs_nobody_its_disk(self) -> None:
-        """Not met by chance in 2,000 examples, so the steps are played."""
+    def test_an_uncommitted_removal_erases_no_disk(self) -> None:
+        """Random examples rarely reach this sequence, so its steps are fixed."""
         for fault, is_lost in ((Fault.NONE, False), (Fault.OUTSIDER_AT_ONCE, True)):
             with self.subTest(fault=fault.name):
                 machine = make_repair_machine(fault)()
                 machine.found(3, seed=1)
-                _tell_of_a_removal_that_is_undone(machine)
+                _report_removal_that_is_undone(machine)
                 if is_lost:
                     with self.assertRaises(AssertionError):
                         machine._require_acceptance()
@@ -117,8 +117,8 @@
                     machine._require_acceptance()
 
 
-def _lose_a_disk_while_a_voter_is_silent(machine: RepairMachine) -> None:
-    """One voter is cut off for long, and another one loses its disk meanwhile."""
+def _lose_disk_while_voter_is_silent(machine: RepairMachine) -> None:
+    """Cut one voter off for a long time, then let another one lose its disk."""
     group = machine.group
     leader = group.leader()
     assert leader is not None
@@ -132,8 +132,8 @@
     machine._start_anew(other)
 
 
-def _tell_of_a_removal_that_is_undone(machine: RepairMachine) -> None:
-    """A leader removes a follower, tells it so, reaches nobody else and is gone for good."""
+def _report_removal_that_is_undone(machine: RepairMachine) -> None:
+    """Let a leader remove a follower, report it to that follower only, and disappear."""
     group = machine.group
     leader = group.leader()
     assert leader is not None
--- a/packages/damsonlane/src/damsonlane/agreement/tests/test_replica.py
+++ b/packages/damsonlane/src/damsonlane/agreement/tests/test_replica.py
@@ -1,4 +1,4 @@
-"""Cases that the stateful machine found, told step by step."""
+"""Regression tests of single replicas and groups, and of the reported staleness."""
 
 import random
 import unittest
@@ -25,12 +25,12 @@
 
 
 class RemovedLeaderTest(unittest.TestCase):
-    def test_leader_that_removed_itself_still_campaigns_until_that_is_committed(self) -> None:
-        """Its log is the longest, so without it the rest can't elect anyone."""
+    def test_leader_that_removes_itself_campaigns_until_the_removal_is_committed(self) -> None:
+        """Otherwise no leader can be elected, since its log is the longest."""
         group = Group(3, Fault.NONE, seed=1)
         leader = _elect(group)
-        lost = next(name for name in group.boxes if name != leader.name)
-        del group.boxes[lost]
+        removed_box = next(name for name in group.boxes if name != leader.name)
+        del group.boxes[removed_box]
         group.boxes["new"] = Box(group, "new")
         member = Member(replica="new", address="new")
         group.change_members(leader.name, lambda replica, now: replica.add_learner(now, member))
@@ -45,14 +45,14 @@
 
 
 class StartTest(unittest.TestCase):
-    def test_a_group_that_was_killed_elects_a_leader_within_one_election_time(self) -> None:
-        """Nobody serves until then, and no leader is left that could be disturbed."""
+    def test_a_restarted_group_elects_a_leader_within_one_election_time(self) -> None:
+        """Entries cannot serve until then, and there is no leader left to disturb."""
         for seed in range(20):
             with self.subTest(seed=seed):
                 self.assertIsNotNone(self._find_leader_after_kill(seed))
 
     def _find_leader_after_kill(self, seed: int) -> Box | None:
-        """Return the leader one election time after a group was killed and started."""
+        """Return the leader one election time after all boxes crashed and restarted."""
         group = Group(5, Fault.NONE, seed=seed)
         _elect(group)
         for box in group.boxes.values():
@@ -63,7 +63,7 @@
         group.settle(8, until=lambda: group.leader() is not None)
         return group.leader()
 
-    def test_a_replica_that_starts_beside_a_leader_leaves_it_in_place(self) -> None:
+    def test_a_restarted_replica_does_not_depose_the_leader(self) -> None:
         group = Group(3, Fault.NONE, seed=1)
         leader = _elect(group)
         follower = next(box for box in group.boxes.values() if box is not leader)
@@ -74,8 +74,8 @@
         self.assertIs(group.leader(), leader)
 
 
-class FreshnessTest(unittest.TestCase):
-    """A replica must never call its state newer than it is."""
+class StalenessTest(unittest.TestCase):
+    """A replica must never report its state as fresher than it is."""
 
     def setUp(self) -> None:
         members = Members(
@@ -91,7 +91,9 @@
             now=0.0,
         )
 
-    def hear(self, now: float, *, previous: int = 1, commit: int = 1, age: float | None) -> None:
+    def receive_append(
+        self, now: float, *, previous: int = 1, commit: int = 1, age: float | None
+    ) -> None:
         request = AppendRequest(
             term=1,
             previous_index=previous,
@@ -104,38 +106,38 @@
         envelope = Envelope(cluster="g", sender="b", receiver="a", message=request)
         self.replica.receive(now, envelope)
 
-    def test_nothing_is_known_before_the_leader_said_so(self) -> None:
+    def test_age_is_unknown_before_the_leader_reports_it(self) -> None:
         self.assertEqual(self.replica.state_age(0.0), float("inf"))
-        self.hear(0.1, age=None)
+        self.receive_append(0.1, age=None)
         self.assertEqual(self.replica.state_age(0.1), float("inf"))
 
-    def test_age_grows_from_what_the_leader_told(self) -> None:
-        self.hear(1.0, age=0.2)
+    def test_age_grows_from_the_age_that_the_leader_reports(self) -> None:
+        self.receive_append(1.0, age=0.2)
         self.assertAlmostEqual(self.replica.state_age(1.5), 0.7)
 
-    def test_a_message_that_it_cannot_follow_makes_it_no_newer(self) -> None:
-        self.hear(1.0, age=0.0)
-        self.hear(1.8, previous=9, commit=9, age=0.0)
+    def test_a_message_with_a_gap_in_the_log_does_not_reduce_the_age(self) -> None:
+        self.receive_append(1.0, age=0.0)
+        self.receive_append(1.8, previous=9, commit=9, age=0.0)
         self.assertAlmostEqual(self.replica.state_age(1.8), 0.8)
 
-    def test_a_commit_that_it_does_not_hold_makes_it_no_newer(self) -> None:
-        self.hear(1.0, age=0.0)
-        self.hear(1.8, commit=9, age=0.0)
+    def test_a_commit_index_beyond_the_log_does_not_reduce_the_age(self) -> None:
+        self.receive_append(1.0, age=0.0)
+        self.receive_append(1.8, commit=9, age=0.0)
         self.assertAlmostEqual(self.replica.state_age(1.8), 0.8)
 
-    def test_a_frozen_replica_is_old_before_its_first_tick(self) -> None:
-        self.hear(1.0, age=0.0)
+    def test_a_thawed_replica_reports_its_age_before_its_first_tick(self) -> None:
+        self.receive_append(1.0, age=0.0)
         self.assertAlmostEqual(self.replica.state_age(31.0), 30.0)
 
-    def test_a_new_leader_must_say_it_anew(self) -> None:
-        self.hear(1.0, age=0.0)
+    def test_age_is_unknown_until_a_new_leader_reports_it(self) -> None:
+        self.receive_append(1.0, age=0.0)
         request = AppendRequest(
             term=2, previous_index=1, previous_term=1, entries=(), commit=1, round=0
         )
         self.replica.receive(1.1, Envelope(cluster="g", sender="c", receiver="a", message=request))
         self.assertEqual(self.replica.state_age(1.1), float("inf"))
 
-    def test_a_leader_is_as_new_as_its_quorum(self) -> None:
+    def test_age_of_a_leader_is_the_time_since_a_quorum_replied(self) -> None:
         group = Group(3, Fault.NONE, seed=1)
         leader = _elect(group)
         replica = leader.replica
--- a/packages/damsonlane/src/damsonlane/agreement/tests/test_scripts.py
+++ b/packages/damsonlane/src/damsonlane/agreement/tests/test_scripts.py
@@ -1,4 +1,4 @@
-"""Two classic sequences, too rare by chance: harmless, and harmful with the planted fault."""
+"""Two fixed sequences that random examples rarely reach, without and with the injected fault."""
 
 import unittest
 
@@ -7,7 +7,7 @@
 
 
 def _connect(group: Group, *names: str) -> None:
-    """Let only these boxes hear each other."""
+    """Let only these boxes reach each other."""
     group.flying.clear()
     group.cuts = {
         (one, other)
@@ -18,7 +18,7 @@
 
 
 def _deliver(group: Group, rounds: int, *, without_term: int = -1, to: str = "") -> None:
-    """Deliver what flies, round by round, losing entries of one term to one box."""
+    """Deliver messages round by round; drop those to one box with entries of one term."""
     for _ in range(rounds):
         flying, group.flying = group.flying, []
         for envelope in flying:
@@ -34,7 +34,7 @@
 
 
 def _make_leader(group: Group, name: str) -> Box:
-    """Have one box elected by those that hear it; its first entry reaches nobody yet."""
+    """Have one box elected; its first entry is not delivered yet."""
     box = group.boxes[name]
     if box.replica is None:
         box.start()
@@ -56,7 +56,7 @@
     group.entries_per_message = 1
     for box in group.boxes.values():
         box.start()
-    # A replica that has known a leader leaves the next one a whole election time.
+    # A replica that has known a leader waits a whole election time before it campaigns.
     group.settle(100, until=lambda: group.leader() is not None)
     group.settle(6)
     _make_leader(group, "box-0")
@@ -64,8 +64,8 @@
     return group
 
 
-def _commit_an_old_term(fault: Fault) -> None:
-    """Figure 8 of the paper: an entry of an older term reaches a majority and is replaced."""
+def _commit_entry_of_old_term(fault: Fault) -> None:
+    """Replay figure 8 of the Raft paper: an entry on a majority is replaced by another leader."""
     group = _start(5, fault)
     _connect(group, "box-0", "box-1")
     group.propose("box-0", "change", 0)
@@ -90,7 +90,7 @@
 
 
 def _change_members_too_early(fault: Fault) -> None:
-    """A new leader changes the group while another change is on its way to a majority."""
+    """Let a new leader change the members while another change is being replicated."""
     group = _start(4, fault)
     group.boxes["box-9"] = Box(group, "box-9")
     _connect(group, "box-0", "box-1", "box-2", "box-3")
@@ -122,18 +122,18 @@
     group.settle(20)
 
 
-class ScriptsTest(unittest.TestCase):
-    def test_an_old_terms_entry_is_never_replaced_once_committed(self) -> None:
-        _commit_an_old_term(Fault.NONE)
+class ScriptedFaultsTest(unittest.TestCase):
+    def test_a_committed_entry_of_an_old_term_is_never_replaced(self) -> None:
+        _commit_entry_of_old_term(Fault.NONE)
 
-    def test_committing_an_old_term_by_counting_is_found(self) -> None:
+    def test_committing_an_old_term_by_counting_is_detected(self) -> None:
         with self.assertRaisesRegex(AssertionError, "committed twice, differently"):
-            _commit_an_old_term(Fault.COMMIT_OLD_TERM)
+            _commit_entry_of_old_term(Fault.COMMIT_OLD_TERM)
 
-    def test_two_changes_of_the_group_never_pass_each_other(self) -> None:
+    def test_membership_changes_never_overlap(self) -> None:
         _change_members_too_early(Fault.NONE)
 
-    def test_a_change_before_an_own_entry_is_found(self) -> None:
+    def test_a_membership_change_before_an_own_entry_is_detected(self) -> None:
         with self.assertRaisesRegex(AssertionError, "committed twice, differently"):
             _change_members_too_early(Fault.CHANGE_WITHOUT_OWN_ENTRY)
 
