--- a/packages/damsonlane/src/damsonlane/cluster/__init__.py
+++ b/packages/damsonlane/src/damsonlane/cluster/__init__.py
@@ -1,4 +1,4 @@
-"""The replicated state: settings, job ledger and costs."""
+"""The replicated state: settings, routing document, job ledger, costs, membership, targets."""
 
 from damsonlane.cluster._changes import (
     AcceptedChange,
--- a/packages/damsonlane/src/damsonlane/cluster/_changes.py
+++ b/packages/damsonlane/src/damsonlane/cluster/_changes.py
@@ -1,4 +1,4 @@
-"""Changes of the settings tree, and what control answers to them."""
+"""Changes of the settings tree, and their replies."""
 
 from dataclasses import dataclass
 from typing import Literal
@@ -12,60 +12,60 @@
     """Change the settings tree if it still has the expected version."""
 
     kind: Literal["change-settings"] = "change-settings"
-    #: Chosen by the operator's command; a resend carries the same.
+    #: Change id, chosen by the operator's command; a resend carries the same one.
     change: str
-    #: Version on which the edits were made.
+    #: Version of the tree that the edits are based on.
     expected_version: int
-    #: Who asks.
+    #: Name of the operator who requests the change.
     operator: str
-    #: When it was asked, in seconds since 1970.
+    #: Time of the request, in seconds since 1970.
     at: float
-    #: What to change.
+    #: Edits to apply.
     edits: tuple[Edit, ...]
 
 
 @dataclass(frozen=True, kw_only=True)
 class AcceptedChange:
-    """A change that took effect, as the history keeps it."""
+    """An accepted change, as stored in the history."""
 
-    #: Version that it made.
+    #: Version that it produced.
     version: int
     #: Its change id.
     change: str
-    #: Who asked.
+    #: Name of the operator who requested it.
     operator: str
-    #: When it was asked, in seconds since 1970.
+    #: Time of the request, in seconds since 1970.
     at: float
-    #: What it changed.
+    #: Edits that were applied.
     edits: tuple[Edit, ...]
 
 
 @dataclass(frozen=True, kw_only=True)
 class ChangeAccepted:
-    """The change took effect."""
+    """Reply: the change was accepted."""
 
     kind: Literal["change-accepted"] = "change-accepted"
-    #: Version that it made.
+    #: Version that it produced.
     version: int
 
 
 @dataclass(frozen=True, kw_only=True)
 class ChangeConflict:
-    """Another change came first."""
+    """Reply: the expected version is not the current one."""
 
     kind: Literal["change-conflict"] = "change-conflict"
-    #: Version now in force.
+    #: Version in force.
     version: int
-    #: The change that made it, or None when it is no longer in the history.
+    #: The change that produced it, or None if the history is empty.
     winner: AcceptedChange | None
 
 
 @dataclass(frozen=True, kw_only=True)
 class ChangeRefused:
-    """The changed tree would be wrong."""
+    """Reply: the edits fail or the changed tree is invalid."""
 
     kind: Literal["change-refused"] = "change-refused"
-    #: All that is wrong.
+    #: All findings.
     findings: tuple[Finding, ...]
 
 
--- a/packages/damsonlane/src/damsonlane/cluster/_document_store.py
+++ b/packages/damsonlane/src/damsonlane/cluster/_document_store.py
@@ -1,8 +1,8 @@
-"""A configuration kept as one whole document, of which the highest version holds.
+"""Configuration as one whole document; the highest version is in force.
 
-This is the second mode beside the settings tree, whose changes name the
-version they were made on.  The text is kept as it was sent, compressed, since
-it is read back as sent and hundreds of versions pass through the log a day.
+This is the alternative to the settings tree, whose changes name the version that
+they are based on.  The text is stored unparsed, since readers get it byte for byte,
+and compressed, since every version passes through the log.
 """
 
 import base64
@@ -10,32 +10,35 @@
 from dataclasses import dataclass
 from typing import Final, Literal
 
-#: Compression level; a document of 300 KB shrinks to about a tenth in some milliseconds.
-_LEVEL: Final = 6
+#: Compression level of zlib.
+_COMPRESSION_LEVEL: Final = 6
 
 
 @dataclass(frozen=True, kw_only=True)
 class PackedDocument:
-    """A document at a version, compressed."""
+    """One version of the document, compressed."""
 
-    #: Its version; 0 when there is none.
+    #: Version of the document; 0 if there is none yet.
     version: int = 0
-    #: The text as it was sent: deflated, then base 64.
+    #: The text as received: compressed by zlib, then encoded in base64.
     packed: str = ""
 
     @classmethod
     def pack(cls, version: int, text: bytes) -> "PackedDocument":
-        """Return a document from its text."""
-        return cls(version=version, packed=base64.b64encode(zlib.compress(text, _LEVEL)).decode())
+        """Return the document with a version and a text."""
+        return cls(
+            version=version,
+            packed=base64.b64encode(zlib.compress(text, _COMPRESSION_LEVEL)).decode(),
+        )
 
     def unpack(self) -> bytes:
-        """Return the text as it was sent."""
+        """Return the text as received."""
         return zlib.decompress(base64.b64decode(self.packed)) if self.packed else b""
 
 
 @dataclass(frozen=True, kw_only=True)
 class ReplaceDocument:
-    """Put a document in force unless one of its version or a higher one is."""
+    """Put a document in force, unless one of the same or a higher version is in force."""
 
     kind: Literal["replace-document"] = "replace-document"
     #: The document.
@@ -44,17 +47,17 @@
 
 @dataclass(frozen=True, kw_only=True)
 class DocumentNoted:
-    """The reply: the sender may take the document as accepted."""
+    """Reply to `ReplaceDocument`: the document counts as accepted."""
 
     kind: Literal["document-noted"] = "document-noted"
-    #: Version in force now.
+    #: Version in force.
     version: int
-    #: Whether this command put it in force.
+    #: Whether the command put its document in force.
     is_changed: bool
 
 
 class DocumentStore:
-    """The document in force."""
+    """Stores the document in force."""
 
     def __init__(self, document: PackedDocument | None = None) -> None:
         self.document = document or PackedDocument()
--- a/packages/damsonlane/src/damsonlane/cluster/_settings_store.py
+++ b/packages/damsonlane/src/damsonlane/cluster/_settings_store.py
@@ -1,4 +1,4 @@
-"""The settings tree as replicated state, with its history and change ids."""
+"""The settings tree as replicated state, with its history and the replies to changes."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -17,78 +17,78 @@
 from damsonlane.errors import SettingsError
 from damsonlane.settings import Tree, apply_edits, check_tree
 
-#: Accepted changes that the history keeps; five days at 3,600 changes a day.
-HISTORY_LENGTH: Final = 18_000
-#: Answers kept for resent changes, refused and conflicting ones included.
-ANSWERS_KEPT: Final = 20_000
+#: Maximum number of accepted changes in the history: five days at 3,600 changes a day.
+MAX_HISTORY_LENGTH: Final = 18_000
+#: Maximum number of stored replies, of refused and conflicting changes too.
+MAX_STORED_REPLIES: Final = 20_000
 
 
 @dataclass(frozen=True, kw_only=True)
-class GivenAnswer:
-    """The first answer to a change id, repeated to every resend."""
+class StoredReply:
+    """The reply to a change id, which every resend of the change gets again."""
 
     #: The change id.
     change: str
-    #: The answer.
+    #: The reply.
     reply: Annotated[ChangeReply, Field(discriminator="kind")]
 
 
 @dataclass(frozen=True, kw_only=True)
 class SettingsSnapshot:
-    """All of the settings store, for a snapshot."""
+    """Snapshot of the settings store."""
 
     #: Version in force.
     version: int = 0
-    #: The settings tree as written.
+    #: The settings tree as an unchecked document.
     document: JsonValue = field(default_factory=dict)
     #: The latest accepted changes, oldest first.
     history: tuple[AcceptedChange, ...] = ()
-    #: Answers given to change ids, oldest first.
-    answers: tuple[GivenAnswer, ...] = ()
+    #: Stored replies, oldest first.
+    answers: tuple[StoredReply, ...] = ()
 
 
 class SettingsStore:
-    """Applies changes in the order of the log."""
+    """The settings tree, changed by commands in the order of the log."""
 
     def __init__(self, snapshot: SettingsSnapshot) -> None:
         self.version = snapshot.version
         self.document = snapshot.document
         self.tree = _require_tree(snapshot.document)
         self._history = list(snapshot.history)
-        self._answers = {given.change: given.reply for given in snapshot.answers}
+        self._replies = {stored.change: stored.reply for stored in snapshot.answers}
 
     def snapshot(self) -> SettingsSnapshot:
-        """Return everything that must survive."""
+        """Return the whole store as a snapshot."""
         return SettingsSnapshot(
             version=self.version,
             document=self.document,
             history=tuple(self._history),
             answers=tuple(
-                GivenAnswer(change=change, reply=reply) for change, reply in self._answers.items()
+                StoredReply(change=change, reply=reply) for change, reply in self._replies.items()
             ),
         )
 
     def change(self, command: ChangeSettings) -> ChangeReply:
-        """Apply a change, or repeat the first answer to its change id."""
-        given = self._answers.get(command.change)
-        if given is not None:
-            return given
+        """Apply a change, or return the stored reply if its change id is known."""
+        stored = self._replies.get(command.change)
+        if stored is not None:
+            return stored
         reply = self._decide(command)
-        self._answers[command.change] = reply
-        if len(self._answers) > ANSWERS_KEPT:
-            del self._answers[next(iter(self._answers))]
+        self._replies[command.change] = reply
+        if len(self._replies) > MAX_STORED_REPLIES:
+            del self._replies[next(iter(self._replies))]
         return reply
 
     def answer_to(self, change: str) -> ChangeReply | None:
-        """Return the answer given to a change id, or None when it was never seen."""
-        return self._answers.get(change)
+        """Return the stored reply to a change id, or None."""
+        return self._replies.get(change)
 
     def history(self) -> tuple[AcceptedChange, ...]:
-        """Return the accepted changes that are kept, oldest first."""
+        """Return the accepted changes in the history, oldest first."""
         return tuple(self._history)
 
     def changes_after(self, version: int) -> tuple[AcceptedChange, ...] | None:
-        """Return the changes after a version, or None when some are no longer kept."""
+        """Return the changes after a version, or None if the history lacks some of them."""
         missing = self.version - version
         if missing < 0 or missing > len(self._history):
             return None
@@ -120,7 +120,7 @@
             edits=command.edits,
         )
         self._history.append(accepted)
-        del self._history[: max(0, len(self._history) - HISTORY_LENGTH)]
+        del self._history[: max(0, len(self._history) - MAX_HISTORY_LENGTH)]
 
 
 def _require_tree(document: JsonValue) -> Tree:
@@ -131,7 +131,7 @@
 
 
 def merge_changes(document: JsonValue, changes: Iterable[AcceptedChange]) -> JsonValue:
-    """Return the document after further accepted changes."""
+    """Return the document after applying accepted changes."""
     for change in changes:
         document = apply_edits(document, change.edits)
     return document
--- a/packages/damsonlane/src/damsonlane/cluster/_state.py
+++ b/packages/damsonlane/src/damsonlane/cluster/_state.py
@@ -1,4 +1,4 @@
-"""Everything that control replicates, as one state machine."""
+"""The replicated state of control, as one state machine."""
 
 from dataclasses import dataclass, field, replace
 from typing import Annotated
@@ -103,47 +103,47 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ClusterSnapshot:
-    """All replicated state, for a snapshot."""
+    """Snapshot of the whole replicated state."""
 
     #: The settings tree with its history.
     settings: SettingsSnapshot = field(default_factory=SettingsSnapshot)
-    #: Records of jobs.
+    #: Jobs in the ledger.
     jobs: tuple[Job, ...] = ()
     #: The ledger's clock, in seconds since 1970.
     clock: float = 0.0
     #: Cost totals.
     totals: tuple[CostTotal, ...] = ()
-    #: Senders of cost batches.
+    #: Last cost batch recorded from each sender.
     senders: tuple[SenderProgress, ...] = ()
-    #: Boxes that are heard.
+    #: Boxes that currently report to control.
     boxes: tuple[BoxRecord, ...] = ()
-    #: Endings of requests.
+    #: Counts of request outcomes.
     endings: tuple[EndingCount, ...] = ()
     #: The routing document.
     document: PackedDocument = PackedDocument()
     #: Targets that register themselves.
     targets: TargetsSnapshot = TargetsSnapshot()
-    #: Data centres that are evacuated.
+    #: Evacuated data centres.
     evacuations: EvacuationsSnapshot = EvacuationsSnapshot()
-    #: Targets that ended, and under what.
+    #: Exits of targets, with the requests that ran on them.
     quarantine: QuarantineSnapshot = QuarantineSnapshot()
-    #: Rate limits that targets named.
+    #: Rate limits that targets announced.
     rate_limits: RateLimitList = RateLimitList()
 
 
 def encode_command(command: Command) -> str:
-    """Return a command as text."""
+    """Return the command as JSON text."""
     return encode_text(command, Command)
 
 
 def decode_command(text: str) -> Command:
-    """Return the command in a text."""
+    """Return the command in a JSON text."""
     command: Command = decode_value(text, Command)
     return command
 
 
 class ClusterState:
-    """Applies committed commands; two replicas with the same log hold the same state."""
+    """Applies committed commands; replicas with the same log have the same state."""
 
     def __init__(self, snapshot: ClusterSnapshot | None = None) -> None:
         start = snapshot or ClusterSnapshot()
@@ -159,11 +159,11 @@
 
     @classmethod
     def from_text(cls, text: str) -> "ClusterState":
-        """Return the state in an encoded snapshot; empty text is the empty state."""
+        """Return the state of an encoded snapshot; empty text gives the empty state."""
         return cls(decode_bytes(text, ClusterSnapshot) if text else None)
 
     def to_text(self) -> str:
-        """Return the whole state, encoded."""
+        """Return an encoded snapshot of the state."""
         snapshot = ClusterSnapshot(
             settings=self.settings.snapshot(),
             jobs=self.ledger.jobs(),
@@ -186,7 +186,7 @@
             case ChangeSettings():
                 return self.settings.change(command)
             case ClaimJob() | StartJob() | FinishJob() | DropJob():
-                return self._tell_holder(self.ledger.apply(command))
+                return self._add_holder_state(self.ledger.apply(command))
             case RecordCosts():
                 return self.costs.record(command)
             case NoteBox():
@@ -197,7 +197,7 @@
                 return self.documents.replace(command)
             case RegisterTarget() | RemoveTarget() | SilenceTargets():
                 reply = self.targets.apply(command)
-                self._forget_limits(command)
+                self._drop_stale_limits(command)
                 return reply
             case EvacuateDataCentre() | RestoreDataCentre():
                 return self.evacuations.apply(command)
@@ -206,16 +206,16 @@
             case NoteRateLimits():
                 return self.rate_limits.apply(command)
 
-    def _forget_limits(self, command: RegisterTarget | RemoveTarget | SilenceTargets) -> None:
-        """Forget what earlier starts of a target named, once it has started again or is gone."""
+    def _drop_stale_limits(self, command: RegisterTarget | RemoveTarget | SilenceTargets) -> None:
+        """Drop rate limits of a target's earlier incarnations, or all if it was removed."""
         if isinstance(command, SilenceTargets):
             return
         name = command.record.target if isinstance(command, RegisterTarget) else command.target
         record = self.targets.find(name)
         self.rate_limits.forget(name, record.start if record is not None else -1)
 
-    def _tell_holder(self, reply: JobReply) -> JobReply:
-        """Say of a job that another process holds whether that process is still heard."""
+    def _add_holder_state(self, reply: JobReply) -> JobReply:
+        """Add to a "busy" reply whether the process that holds the job is gone."""
         holder = read_holder(reply.token)
         if reply.verdict != "busy" or holder is None:
             return reply
