--- a/packages/damsonlane/src/damsonlane/membership/__init__.py
+++ b/packages/damsonlane/src/damsonlane/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Membership of boxes: live, leaving, gone; an old incarnation never comes back."""
+"""Membership of boxes: live or draining; an earlier incarnation never replaces a later one."""
 
 from damsonlane.membership._boxes import (
     BoxNoted,
--- a/packages/damsonlane/src/damsonlane/membership/_boxes.py
+++ b/packages/damsonlane/src/damsonlane/membership/_boxes.py
@@ -1,10 +1,10 @@
-"""Which boxes there are, as control's own evidence says."""
+"""Membership of boxes, as reported by the control replicas that they connect to."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 from typing import Literal
 
-#: A box is live until it says that it is leaving; one that fell silent is deleted.
+#: A box is live until it announces that it is draining ("leaving"); a silent one is deleted.
 BoxStanding = Literal["live", "leaving"]
 
 
@@ -14,59 +14,59 @@
 
     #: Name of the box.
     box: str
-    #: Drawn at the start of its process.
+    #: Random identity of its process, drawn at the start.
     incarnation: str
-    #: Start of its process by its own clock, in seconds since 1970.
+    #: Start time of its process by its own clock, in seconds since 1970.
     started_at: float
     #: Its data centre.
     data_centre: str
     #: Its internal address.
     address: str
-    #: Whether it takes new requests.
+    #: Whether it accepts new requests.
     standing: BoxStanding
-    #: Control replica that hears it.
+    #: Control replica that it reports to.
     via: str
-    #: Its place in the order in which incarnations joined, given by the replicated list.
+    #: Its position in the order in which incarnations joined, assigned by `Membership`.
     place: int = 0
 
     def says_as(self, other: "BoxRecord") -> bool:
-        """Tell whether a box said the same in another record, wherever either was put."""
+        """Return whether two records are equal, apart from their positions."""
         return replace(self, place=0) == replace(other, place=0)
 
 
 @dataclass(frozen=True, kw_only=True)
 class NoteBox:
-    """A control replica hears a box."""
+    """A control replica reports the current record of a box."""
 
     kind: Literal["note-box"] = "note-box"
-    #: What it hears.
+    #: The record.
     record: BoxRecord
 
 
 @dataclass(frozen=True, kw_only=True)
 class LoseBox:
-    """A control replica no longer hears a box that it heard last."""
+    """A control replica reports that a box fell silent."""
 
     kind: Literal["lose-box"] = "lose-box"
     #: Name of the box.
     box: str
     #: The incarnation that fell silent.
     incarnation: str
-    #: The replica that heard it.
+    #: Control replica that it reported to.
     via: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class BoxNoted:
-    """The reply to both."""
+    """Reply to `NoteBox` and `LoseBox`."""
 
     kind: Literal["box-noted"] = "box-noted"
-    #: Whether the record changed.
+    #: Whether the membership changed.
     is_changed: bool
 
 
 class Membership:
-    """The boxes: part of the replicated state."""
+    """The records of all boxes; part of the replicated state."""
 
     def __init__(self, records: Iterable[BoxRecord] = ()) -> None:
         self._records = {record.box: record for record in records}
@@ -76,41 +76,43 @@
         return tuple(self._records[box] for box in sorted(self._records))
 
     def record_of(self, box: str) -> BoxRecord | None:
-        """Return the record of a box, or None."""
+        """Return the record of a box, or None if there is none."""
         return self._records.get(box)
 
     def live(self) -> int:
-        """Return how many boxes are live."""
+        """Return the number of live boxes."""
         return sum(1 for record in self._records.values() if record.standing == "live")
 
     def note(self, command: NoteBox) -> BoxNoted:
-        """Take a record unless it is of an earlier incarnation than the known one."""
+        """Store a record, unless it is of an earlier incarnation than the stored one."""
         record = command.record
-        known = self._records.get(record.box)
-        if known is not None and (known.says_as(record) or _is_older(record, known)):
+        stored = self._records.get(record.box)
+        if stored is not None and (
+            stored.says_as(record) or _is_earlier_incarnation(record, stored)
+        ):
             return BoxNoted(is_changed=False)
-        if known is not None and known.incarnation == record.incarnation:
-            # A late message must not make a leaving box live again.
-            is_leaving = "leaving" in (known.standing, record.standing)
+        if stored is not None and stored.incarnation == record.incarnation:
+            # A delayed message must not make a draining box live again.
+            is_leaving = "leaving" in (stored.standing, record.standing)
             standing: BoxStanding = "leaving" if is_leaving else "live"
-            record = replace(record, standing=standing, place=known.place)
+            record = replace(record, standing=standing, place=stored.place)
         else:
-            record = replace(record, place=self._next_place())
+            record = replace(record, place=self._next_position())
         self._records[record.box] = record
         return BoxNoted(is_changed=True)
 
     def lose(self, command: LoseBox) -> BoxNoted:
-        """Delete a record, if it is still the one that fell silent."""
-        known = self._records.get(command.box)
-        if known is None or (known.incarnation, known.via) != (command.incarnation, command.via):
+        """Delete a record, unless its box has restarted or moved to another control replica."""
+        stored = self._records.get(command.box)
+        if stored is None or (stored.incarnation, stored.via) != (command.incarnation, command.via):
             return BoxNoted(is_changed=False)
         del self._records[command.box]
         return BoxNoted(is_changed=True)
 
-    def _next_place(self) -> int:
-        """Return the place of an incarnation that joins now: after all that are there."""
+    def _next_position(self) -> int:
+        """Return the position for a new incarnation, after all stored ones."""
         return 1 + max((record.place for record in self._records.values()), default=0)
 
 
-def _is_older(record: BoxRecord, known: BoxRecord) -> bool:
-    return record.incarnation != known.incarnation and record.started_at <= known.started_at
+def _is_earlier_incarnation(record: BoxRecord, stored: BoxRecord) -> bool:
+    return record.incarnation != stored.incarnation and record.started_at <= stored.started_at
--- a/packages/damsonlane/src/damsonlane/membership/_owners.py
+++ b/packages/damsonlane/src/damsonlane/membership/_owners.py
@@ -1,4 +1,4 @@
-"""Which box owns something that all boxes share, chosen alike by each of them."""
+"""Choice of the box that owns a shared resource; all boxes choose the same one."""
 
 import hashlib
 import math
@@ -7,35 +7,35 @@
 
 from damsonlane.membership._boxes import BoxRecord
 
-#: Share of the boxes that own things: those that joined first.  A box that has
-#: just started again owns nothing until others have left, since each change of
-#: an owner costs the requests that are under way there.
-OWNING_SHARE: Final = 0.5
+#: Fraction of the boxes that can be owners: those that joined first.  A box that has just
+#: restarted owns nothing until others have left, since each change of owner disrupts
+#: the requests in flight at the old one.
+OWNER_FRACTION: Final = 0.5
 
 
 def choose_owner(
     subject: str, records: Sequence[BoxRecord], avoid: Collection[str] = ()
 ) -> BoxRecord | None:
-    """Return the owner of a subject by rendezvous hashing over the boxes that joined first.
+    """Return the owner of a resource by rendezvous hashing over the boxes that joined first.
 
     Args:
-        subject: what is owned, by a name that all boxes use.
+        subject: name of the resource, the same at all boxes.
         records: all boxes.
-        avoid: addresses of those that may not own it.
+        avoid: addresses of boxes that may not own it.
 
     Returns:
-        The owner, or None where no box may own it.
+        The owner, or None if no box may own it.
     """
-    ranked = sorted(records, key=lambda record: (record.place, record.box))
-    seniors = ranked[: math.ceil(OWNING_SHARE * len(ranked))]
-    # Whoever avoids a box must not choose anew what others own.
-    sound = _leave_out(seniors, avoid) or _leave_out(ranked, avoid)
-    return max(sound, key=lambda record: _weigh(subject, record.address), default=None)
+    by_seniority = sorted(records, key=lambda record: (record.place, record.box))
+    seniors = by_seniority[: math.ceil(OWNER_FRACTION * len(by_seniority))]
+    # Avoiding a box must not change the owners of resources that other boxes own.
+    eligible = _exclude(seniors, avoid) or _exclude(by_seniority, avoid)
+    return max(eligible, key=lambda record: _hash_weight(subject, record.address), default=None)
 
 
-def _leave_out(records: Sequence[BoxRecord], avoid: Collection[str]) -> list[BoxRecord]:
+def _exclude(records: Sequence[BoxRecord], avoid: Collection[str]) -> list[BoxRecord]:
     return [record for record in records if record.address not in avoid]
 
 
-def _weigh(subject: str, address: str) -> bytes:
+def _hash_weight(subject: str, address: str) -> bytes:
     return hashlib.blake2b(f"{subject}\0{address}".encode(), digest_size=8).digest()
--- a/packages/damsonlane/src/damsonlane/membership/tests/test_membership.py
+++ b/packages/damsonlane/src/damsonlane/membership/tests/test_membership.py
@@ -1,11 +1,11 @@
-"""Membership: incarnations, leaving and loss."""
+"""Membership: incarnations, draining and silent boxes."""
 
 import unittest
 from dataclasses import replace
 
 from damsonlane.membership import BoxRecord, LoseBox, Membership, NoteBox
 
-_SAID = BoxRecord(
+_REPORTED = BoxRecord(
     box="entry-1",
     incarnation="one",
     started_at=10.0,
@@ -14,10 +14,10 @@
     standing="live",
     via="control-1",
 )
-_FIRST = replace(_SAID, place=1)
+_FIRST = replace(_REPORTED, place=1)
 _SECOND = replace(_FIRST, incarnation="two", started_at=20.0)
-#: The second incarnation where the first was there before.
-_SECOND_IN_PLACE = replace(_SECOND, place=2)
+#: The second incarnation, when it replaces the first one.
+_SECOND_AFTER_FIRST = replace(_SECOND, place=2)
 _LEAVING = replace(_FIRST, standing="leaving")
 _MOVED = replace(_FIRST, via="control-2")
 
@@ -27,24 +27,32 @@
 
 
 class MembershipTest(unittest.TestCase):
-    def test_what_follows_each_series_of_commands(self) -> None:
+    def test_records_after_each_series_of_commands(self) -> None:
         cases: list[tuple[str, list[NoteBox | LoseBox], list[BoxRecord]]] = [
-            ("first seen", [NoteBox(record=_FIRST)], [_FIRST]),
-            ("restarted", [NoteBox(record=_FIRST), NoteBox(record=_SECOND)], [_SECOND_IN_PLACE]),
-            ("late old one", [NoteBox(record=_SECOND), NoteBox(record=_FIRST)], [_SECOND]),
-            ("said again", [NoteBox(record=_SAID), NoteBox(record=_SAID)], [_FIRST]),
+            ("new box", [NoteBox(record=_FIRST)], [_FIRST]),
+            ("restarted", [NoteBox(record=_FIRST), NoteBox(record=_SECOND)], [_SECOND_AFTER_FIRST]),
+            (
+                "delayed report of the earlier incarnation",
+                [NoteBox(record=_SECOND), NoteBox(record=_FIRST)],
+                [_SECOND],
+            ),
+            ("repeated report", [NoteBox(record=_REPORTED), NoteBox(record=_REPORTED)], [_FIRST]),
             ("leaving", [NoteBox(record=_FIRST), NoteBox(record=_LEAVING)], [_LEAVING]),
-            ("late live", [NoteBox(record=_LEAVING), NoteBox(record=_FIRST)], [_LEAVING]),
+            (
+                "delayed report from before draining",
+                [NoteBox(record=_LEAVING), NoteBox(record=_FIRST)],
+                [_LEAVING],
+            ),
             ("silent", [NoteBox(record=_FIRST), _lose(_FIRST)], []),
             (
-                "silent where it was heard before",
+                "silent at a control replica that it left",
                 [NoteBox(record=_FIRST), NoteBox(record=_MOVED), _lose(_FIRST)],
                 [_MOVED],
             ),
             (
-                "the old one fell silent",
+                "the earlier incarnation fell silent",
                 [NoteBox(record=_FIRST), NoteBox(record=_SECOND), _lose(_FIRST)],
-                [_SECOND_IN_PLACE],
+                [_SECOND_AFTER_FIRST],
             ),
         ]
         for name, commands, expected in cases:
