--- a/packages/damsonlane/src/damsonlane/__init__.py
+++ b/packages/damsonlane/src/damsonlane/__init__.py
@@ -1,5 +1,5 @@
-"""The pure core of damsonlane: decisions without input, output, clocks or threads.
+"""The core of damsonlane: decisions without I/O, clocks or threads.
 
-Time and randomness are passed in by the caller.  The daemon adapts this
-package to sockets, disks and clocks.
+Callers pass in time and randomness.  The daemon connects this package to sockets,
+disks and clocks.
 """
--- a/packages/damsonlane/src/damsonlane/codec.py
+++ b/packages/damsonlane/src/damsonlane/codec.py
@@ -1,4 +1,4 @@
-"""Text and bytes of typed values, by way of pydantic."""
+"""JSON encoding and decoding of typed values, with pydantic."""
 
 from functools import lru_cache
 from typing import Any, TypeVar, cast
@@ -22,7 +22,7 @@
     """Return the value of ``shape`` in JSON ``data``.
 
     Raises:
-        pydantic.ValidationError: the data has another shape.
+        pydantic.ValidationError: the data does not match the shape.
     """
     return cast(Value, _adapter(cast(Any, shape)).validate_json(data))
 
@@ -33,9 +33,9 @@
 
 
 def decode_value(data: bytes | str, shape: Any) -> Any:
-    """Return the value in JSON ``data`` for a shape that is no class, such as a union.
+    """Return the value in JSON ``data`` for a shape that is not a class, such as a union.
 
     Raises:
-        pydantic.ValidationError: the data has another shape.
+        pydantic.ValidationError: the data does not match the shape.
     """
     return _adapter(shape).validate_json(data)
--- a/packages/damsonlane/src/damsonlane/errors.py
+++ b/packages/damsonlane/src/damsonlane/errors.py
@@ -1,4 +1,4 @@
-"""Every exception that damsonlane raises on purpose, in one tree."""
+"""Exceptions of damsonlane."""
 
 from collections.abc import Sequence
 
@@ -6,14 +6,14 @@
 
 
 class DamsonlaneError(Exception):
-    """Root of the tree; its text is fit to be shown to an operator."""
+    """Base class of all exceptions; the message can be shown to an operator."""
 
 
 class SettingsError(DamsonlaneError):
-    """Settings were refused; all findings are reported together.
+    """Settings are invalid; all findings are reported together.
 
     Attributes:
-        findings: what is wrong, each with its place, in the order found.
+        findings: all faults with their places, in the order found.
     """
 
     def __init__(self, findings: Sequence[Finding]) -> None:
@@ -26,7 +26,7 @@
 
 
 class CorruptionError(StorageError):
-    """Stored bytes that were acknowledged have been damaged.
+    """Stored data that was acknowledged is damaged.
 
     Attributes:
         file: path of the damaged file.
@@ -43,14 +43,14 @@
 
 
 class UnavailableError(DamsonlaneError):
-    """Control could not confirm an answer; the outcome of a change is unknown."""
+    """Control could not confirm a reply; the outcome of a change is unknown."""
 
 
 class NotLeaderError(UnavailableError):
-    """This replica does not lead.
+    """This replica is not the leader.
 
     Attributes:
-        leader: address of the leader where it is known, else an empty string.
+        leader: address of the leader, or an empty string if it is not known.
     """
 
     def __init__(self, leader: str) -> None:
@@ -59,8 +59,8 @@
 
 
 class NotUnderstoodError(UnavailableError):
-    """Control accepted settings that this process, being older, can't read."""
+    """Control accepted settings that this process cannot read, since its version is older."""
 
 
 class AgreementError(DamsonlaneError):
-    """A change of the control group is not allowed now."""
+    """A change of the control group is not allowed at the moment."""
--- a/packages/damsonlane/src/damsonlane/findings/__init__.py
+++ b/packages/damsonlane/src/damsonlane/findings/__init__.py
@@ -1,4 +1,4 @@
-"""Findings: faults in what someone wrote, each with its place."""
+"""Findings: faults in a document, each with its place."""
 
 from damsonlane.findings._finding import Finding, Place
 from damsonlane.findings._validation import list_findings
--- a/packages/damsonlane/src/damsonlane/findings/_finding.py
+++ b/packages/damsonlane/src/damsonlane/findings/_finding.py
@@ -1,15 +1,15 @@
-"""The finding and its place."""
+"""A finding and its place in a document."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, kw_only=True)
 class Place:
-    """Where a finding lies."""
+    """Place of a finding in a document."""
 
-    #: Path into the document, segments joined by ``/``; empty for the whole document.
+    #: Path in the document, with segments separated by ``/``; empty for the whole document.
     path: str
-    #: Name of the file, or an empty string when the text came by another way.
+    #: Name of the file, or an empty string if the document is not from a file.
     file: str = ""
     #: Line, counted from 1; 0 when unknown.
     line: int = 0
@@ -17,19 +17,19 @@
     column: int = 0
 
     def render(self) -> str:
-        """Return the place as ``file:line:column path``, leaving out what is unknown."""
+        """Return the place as ``file:line:column path``, without the unknown parts."""
         position = f":{self.line}:{self.column}" if self.line else ""
-        where = f"{self.file}{position}" if self.file else position.lstrip(":")
-        return " ".join(part for part in (where, self.path or "/") if part)
+        location = f"{self.file}{position}" if self.file else position.lstrip(":")
+        return " ".join(part for part in (location, self.path or "/") if part)
 
 
 @dataclass(frozen=True, kw_only=True)
 class Finding:
-    """One fault, said so that the reader knows what to do."""
+    """A fault in a document, with a message that says how to correct it."""
 
-    #: Where the fault lies.
+    #: Place of the fault.
     place: Place
-    #: What is wrong and what to do about it.
+    #: What is wrong and how to correct it.
     message: str
 
     def render(self) -> str:
--- a/packages/damsonlane/src/damsonlane/findings/_validation.py
+++ b/packages/damsonlane/src/damsonlane/findings/_validation.py
@@ -1,4 +1,4 @@
-"""Findings of a text whose types pydantic has checked."""
+"""Conversion of pydantic's validation errors to findings."""
 
 from pydantic import ValidationError
 
@@ -6,11 +6,11 @@
 
 
 def list_findings(error: ValidationError, file: str = "") -> list[Finding]:
-    """Return a finding for each fault.
+    """Return one finding per validation error.
 
     Args:
-        error: what pydantic found.
-        file: name of the file, or an empty string when the text came by another way.
+        error: errors of one validation.
+        file: name of the file, or an empty string if the document is not from a file.
     """
     return [
         Finding(
--- a/packages/damsonlane/src/damsonlane/settings/__init__.py
+++ b/packages/damsonlane/src/damsonlane/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings: of one box, and the tree that governs all of them."""
+"""Settings of one box, and the settings tree of the whole system."""
 
 from damsonlane.settings._box import (
     BoxSettings,
--- a/packages/damsonlane/src/damsonlane/settings/_box.py
+++ b/packages/damsonlane/src/damsonlane/settings/_box.py
@@ -1,4 +1,4 @@
-"""Settings of one box, which it reads from a file at its start."""
+"""Settings of one box, read from a file when its process starts."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -12,13 +12,13 @@
 from damsonlane.settings._tree import Address, Name
 from damsonlane.settings._validation import CLOSED, check_value, locate
 
-#: What a process does.
+#: Role of a process.
 Role = Literal["entry", "control"]
 
 
 @dataclass(frozen=True, kw_only=True)
 class TlsFiles:
-    """Files of the keys with which boxes trust each other."""
+    """Key and certificate files for TLS between boxes."""
 
     __pydantic_config__ = CLOSED
 
@@ -26,76 +26,76 @@
     certificate: str
     #: Private key of this box, PEM.
     key: str
-    #: Certificate of the authority that signs boxes and operators, PEM.
+    #: Certificate of the authority that signs those of boxes and operators, PEM.
     authority: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class PlatformList:
-    """Where the platform's list of live and leaving boxes is."""
+    """Source of the platform's list of live and draining boxes."""
 
     __pydantic_config__ = CLOSED
 
-    #: How it is read.
+    #: How the list is read.
     kind: Literal["file", "http"]
-    #: Path of the file, or address to get it from.
+    #: Path of the file, or URL of the list.
     place: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class Founding:
-    """How a control group comes into being and stays whole without an operator."""
+    """Founding and repair of the control group without an operator."""
 
     __pydantic_config__ = CLOSED
 
-    #: Internal addresses of the boxes that found the group; later ones to ask for it.
+    #: Internal addresses of the boxes that found the group and that later boxes ask to join.
     seeds: Annotated[tuple[Address, ...], Field(min_length=1)]
-    #: Whether the system starts for the first time, so that a group may be founded.
+    #: Whether this is the first start of the system, so that a group may be founded.
     is_first_start: bool = False
-    #: Boxes whose disks may be lost at once.
+    #: Number of boxes that may lose their disks at the same time.
     lost_boxes: Annotated[int, Field(ge=0, le=4)] = 1
 
     @property
     def voters(self) -> int:
-        """How many replicas are needed to bear that loss."""
+        """Number of voters needed to tolerate that loss."""
         return 2 * self.lost_boxes + 1
 
 
 @dataclass(frozen=True, kw_only=True)
 class Gateway:
-    """What an entry needs to serve routes, and control to keep its fleet informed."""
+    """Settings for an entry that serves routes, and for control that informs such entries."""
 
     __pydantic_config__ = CLOSED
 
     #: Name of the dialect that callers, targets and operators speak.
     dialect: Name
-    #: At control: address for targets and operators.
+    #: At control: address that targets and operators call.
     registry_address: Address | Literal[""] = ""
-    #: At an entry: address that tells the balancer whether it takes requests.
+    #: At an entry: address of the readiness endpoint for the load balancer.
     ready_address: Address | Literal[""] = ""
     #: Seconds between heartbeats of a target.
     heartbeat_seconds: Annotated[float, Field(gt=0, le=60)] = 1.0
     #: Seconds within which an accepted document must be in force everywhere.
     apply_seconds: Annotated[float, Field(gt=0, le=60)] = 2.0
-    #: Seconds from SIGTERM to the end of the process.
+    #: Seconds from SIGTERM to the exit of the process.
     stop_seconds: Annotated[float, Field(gt=0, le=600)] = 8.0
-    #: Requests sent again, as a share of first ones, that the fleet may make.
+    #: Retry budget of the fleet, as a fraction of first attempts.
     retry_share: Annotated[float, Field(ge=0, le=1)] = 0.2
-    #: Seconds over which that share is counted.
+    #: Window of the retry budget, in seconds.
     retry_window_seconds: Annotated[float, Field(gt=0, le=600)] = 10.0
-    #: Requests sent again in one window that the fleet may make besides.
+    #: Retries per window that the fleet may make in addition.
     retry_slack: Annotated[int, Field(ge=0, le=100_000)] = 50
-    #: Times the requests a second that a cold target bears which may reach it.
+    #: Limit on requests per second to a target in warm-up, as a multiple of its warm-up rate.
     cold_ratio: Annotated[float, Field(gt=0, le=100)] = 1.5
-    #: Requests that may reach it in a second besides.
+    #: Requests per second that may reach such a target in addition.
     cold_slack: Annotated[float, Field(ge=0, le=100_000)] = 5.0
-    #: At control: the data centres that there are; empty where any name is taken.
+    #: At control: names of all data centres; empty to accept any name.
     data_centres: tuple[Name, ...] = ()
 
 
 @dataclass(frozen=True, kw_only=True)
 class BoxSettings:
-    """What a process learns at its start."""
+    """Settings that a process reads at its start."""
 
     __pydantic_config__ = CLOSED
 
@@ -103,35 +103,35 @@
     name: Name
     #: Data centre in which it stands.
     data_centre: Name
-    #: Role it plays.
+    #: Role of the process.
     role: Role
-    #: Folder that holds all its files.
+    #: Folder for all files of the process.
     data_folder: Annotated[str, Field(min_length=1)]
-    #: Address for calls between boxes.
+    #: Address for calls from other boxes.
     internal_address: Address
     #: Address for metrics and readiness.
     admin_address: Address
     #: Internal addresses of the control replicas.
     control: tuple[Address, ...]
-    #: Address for callers; an entry needs one.
+    #: Address for callers; required at an entry.
     caller_address: Address | Literal[""] = ""
     #: Internal addresses of other entries.
     peers: tuple[Address, ...] = ()
-    #: Keys between boxes; without them calls travel in the clear.
+    #: Keys for TLS between boxes; None for unencrypted calls.
     tls: TlsFiles | None = None
-    #: The platform's list of boxes; it lags, so it is one source among others.
+    #: The platform's list of boxes; it may be out of date, so it is one of several sources.
     platform_list: PlatformList | None = None
-    #: Threads that serve callers; more than all lanes together may hold.
+    #: Threads that serve callers; should exceed the in-flight limits of all lanes together.
     caller_threads: Annotated[int, Field(ge=4, le=2000)] = 200
     #: Largest request body, in bytes.
     body_limit: Annotated[int, Field(ge=1024, le=64 * 2**20)] = 2 * 2**20
-    #: Seconds between SIGTERM and the closing of the callers' socket.
+    #: Seconds from SIGTERM to the closing of the callers' socket.
     grace_seconds: Annotated[float, Field(ge=0, le=60)] = 1.0
-    #: Seconds without word from a leader before an election starts, at the least.
+    #: Minimum seconds without contact to a leader before an election starts.
     election_seconds: Annotated[float, Field(ge=0.1, le=60)] = 1.0
-    #: Founding and repair of the control group by itself; None leaves both to an operator.
+    #: Automatic founding and repair of the control group; None leaves both to an operator.
     founding: Founding | None = None
-    #: Service of routes; None for an entry that serves pipelines.
+    #: Settings for serving routes; None for an entry that serves pipelines.
     gateway: Gateway | None = None
 
 
@@ -139,10 +139,10 @@
 
 
 def read_box_settings(document: Document) -> BoxSettings:
-    """Check a document as the settings of a box.
+    """Read a document as the settings of a box.
 
     Raises:
-        SettingsError: with all findings, each with line, column and path.
+        SettingsError: the settings are invalid; carries all findings with line, column, path.
     """
     checked = check_value(document.value, _ADAPTER, BoxSettings)
     if not isinstance(checked, BoxSettings):
--- a/packages/damsonlane/src/damsonlane/settings/_edits.py
+++ b/packages/damsonlane/src/damsonlane/settings/_edits.py
@@ -1,4 +1,4 @@
-"""Edits: typed changes to single places of the settings document."""
+"""Edits: changes of single values in the settings document."""
 
 import copy
 from collections.abc import Sequence
@@ -13,11 +13,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Edit:
-    """One change of one place."""
+    """A change of one value."""
 
-    #: Path of the place, such as ``/policy/deadline_seconds``; empty for the whole tree.
+    #: Path of the value, such as ``/policy/deadline_seconds``; empty for the whole tree.
     path: str
-    #: Whether the value is set or taken away.
+    #: Whether the value is set or removed.
     action: Literal["set", "remove"] = "set"
     #: The new value; unused by ``remove``.
     value: JsonValue = None
@@ -26,11 +26,11 @@
 def apply_edits(document: JsonValue, edits: Sequence[Edit]) -> JsonValue:
     """Return a changed copy of ``document``.
 
-    Parents that are missing are made as objects.
+    Missing parents are created as objects.
 
     Raises:
-        SettingsError: a path leads through something that is no object, or
-            nothing is there to remove; carries all findings.
+        SettingsError: a path is malformed or leads through a value that is not an
+            object, or there is no value to remove; carries all findings.
     """
     changed = copy.deepcopy(document)
     findings = []
@@ -38,16 +38,16 @@
         if edit.path == "":
             changed = copy.deepcopy(edit.value)
             continue
-        fault = _apply_edit(changed, edit)
-        if fault:
-            findings.append(Finding(place=Place(path=edit.path), message=fault))
+        error = _apply_edit(changed, edit)
+        if error:
+            findings.append(Finding(place=Place(path=edit.path), message=error))
     if findings:
         raise SettingsError(findings)
     return changed
 
 
 def _apply_edit(document: JsonValue, edit: Edit) -> str:
-    """Apply one edit in place and return what is wrong with it, or an empty string."""
+    """Apply one edit in place; return an error message, or an empty string."""
     if not edit.path.startswith("/"):
         return "a path starts with '/'"
     *parents, last = edit.path[1:].split("/")
--- a/packages/damsonlane/src/damsonlane/settings/_policy.py
+++ b/packages/damsonlane/src/damsonlane/settings/_policy.py
@@ -1,4 +1,4 @@
-"""Values that children of the settings tree inherit from their parents."""
+"""Policy values, which each level of the settings tree inherits from its parent."""
 
 import dataclasses
 from collections.abc import Sequence
@@ -12,39 +12,39 @@
 
 
 class Inherit(Enum):
-    """The sentinel of a value that is taken from the parent."""
+    """Type of the sentinel for an inherited value."""
 
     VALUE = "inherit"
 
 
-#: Marks a policy value as taken from the parent.
+#: Marks a policy value as inherited.
 INHERIT: Final = Inherit.VALUE
 
-#: The lanes of admission, from the smallest work to the largest.
+#: Lanes of admission, from the smallest requests to the largest.
 Lane = Literal["lookup", "standard", "bulk"]
 
 
 @dataclass(frozen=True, kw_only=True)
 class Policy:
-    """What one level of the settings tree says; everything else is inherited."""
+    """Policy values set at one level of the settings tree; the others are inherited."""
 
     __pydantic_config__ = CLOSED
 
-    #: Longest time a request may take, in seconds.
+    #: Maximum duration of a request, in seconds.
     deadline_seconds: Annotated[float, Field(gt=0, le=3600)] | Inherit = INHERIT
-    #: Most attempts at one repeatable stage, the first included.
+    #: Maximum attempts at one repeatable stage, including the first.
     stage_attempts: Annotated[int, Field(ge=1, le=10)] | Inherit = INHERIT
-    #: Retries allowed as a share of first attempts.
+    #: Retry budget, as a fraction of first attempts.
     retry_share: Annotated[float, Field(ge=0, le=1)] | Inherit = INHERIT
     #: Name of the routing policy.
     routing: str | Inherit = INHERIT
-    #: Weight of the organisation in sharing capacity.
+    #: Weight of the organisation's share of capacity.
     weight: Annotated[float, Field(gt=0, le=1000)] | Inherit = INHERIT
-    #: Most requests of a lane in flight at one entry.
+    #: Maximum requests of a lane in flight at one entry.
     in_flight: Annotated[int, Field(ge=1, le=10_000)] | Inherit = INHERIT
-    #: Most requests of an organisation in flight at all entries together; 0 for no limit.
+    #: Maximum requests of an organisation in flight at all entries together; 0 for no limit.
     fleet_in_flight: Annotated[int, Field(ge=0, le=1_000_000)] | Inherit = INHERIT
-    #: Share of requests that should be answered whole and in time.
+    #: Objective: fraction of requests to be answered completely and in time.
     objective: Annotated[float, Field(gt=0, lt=1)] | Inherit = INHERIT
     #: Lane of admission.
     lane: Lane | Inherit = INHERIT
@@ -52,23 +52,23 @@
 
 @dataclass(frozen=True, kw_only=True)
 class EffectivePolicy:
-    """A policy with every value decided; the defaults stand at the top of the tree."""
+    """A policy with every value resolved; the field defaults are the built-in defaults."""
 
-    #: Longest time a request may take, in seconds.
+    #: Maximum duration of a request, in seconds.
     deadline_seconds: float = 3.0
-    #: Most attempts at one repeatable stage, the first included.
+    #: Maximum attempts at one repeatable stage, including the first.
     stage_attempts: int = 2
-    #: Retries allowed as a share of first attempts.
+    #: Retry budget, as a fraction of first attempts.
     retry_share: float = 0.1
     #: Name of the routing policy.
     routing: str = "paced"
-    #: Weight of the organisation in sharing capacity.
+    #: Weight of the organisation's share of capacity.
     weight: float = 1.0
-    #: Most requests of a lane in flight at one entry.
+    #: Maximum requests of a lane in flight at one entry.
     in_flight: int = 64
-    #: Most requests of an organisation in flight at all entries together; 0 for no limit.
+    #: Maximum requests of an organisation in flight at all entries together; 0 for no limit.
     fleet_in_flight: int = 0
-    #: Share of requests that should be answered whole and in time.
+    #: Objective: fraction of requests to be answered completely and in time.
     objective: float = 0.99
     #: Lane of admission.
     lane: Lane = "standard"
@@ -76,17 +76,17 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Level:
-    """One level of inheritance: a policy and where it is written."""
+    """One level of inheritance: a policy and its path in the document."""
 
     #: Path of the policy in the document; empty for the built-in defaults.
     path: str
-    #: What is written there.
+    #: The policy at that path.
     policy: Policy
 
 
 @dataclass(frozen=True, kw_only=True)
 class Origin:
-    """Where an effective value comes from."""
+    """An effective value and the level that sets it."""
 
     #: Name of the value.
     name: str
@@ -97,13 +97,13 @@
 
 
 def resolve_policy(levels: Sequence[Level]) -> EffectivePolicy:
-    """Resolve levels from the root downwards into one effective policy."""
+    """Return the effective policy of levels, ordered from the root downwards."""
     values: dict[str, Any] = {origin.name: origin.value for origin in explain_policy(levels)}
     return EffectivePolicy(**values)
 
 
 def explain_policy(levels: Sequence[Level]) -> tuple[Origin, ...]:
-    """Say for each policy value which level decided it; later levels win."""
+    """Return for each policy value the level that sets it; later levels override earlier ones."""
     origins = []
     defaults = EffectivePolicy()
     for field in dataclasses.fields(EffectivePolicy):
--- a/packages/damsonlane/src/damsonlane/settings/_text.py
+++ b/packages/damsonlane/src/damsonlane/settings/_text.py
@@ -1,4 +1,4 @@
-"""Reading JSON with comments, and finding the line of a path in it."""
+"""Parsing of JSON with comments, and lookup of the line of a path."""
 
 import re
 from dataclasses import dataclass
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Document:
-    """A parsed document together with the text it came from."""
+    """A parsed document together with its source text."""
 
     #: The parsed value.
     value: JsonValue
@@ -27,7 +27,7 @@
     file: str = ""
 
     def place(self, path: str) -> Place:
-        """Return the place of the value at ``path``, or of its nearest written parent."""
+        """Return the place of the value at ``path``, or of its nearest parent in the text."""
         located = _locate(self.text, path)
         if located is None:
             return Place(path=path, file=self.file)
@@ -39,7 +39,7 @@
 
     Args:
         text: the document.
-        file: name to report in findings.
+        file: name of the file for findings.
 
     Returns:
         The document with its text.
@@ -76,7 +76,7 @@
 
 
 def _blank_comments(text: str) -> str:
-    """Replace comments by spaces, so that every other character keeps its place."""
+    """Replace comments by spaces; all other characters keep their positions."""
 
     def blank(match: re.Match[str]) -> str:
         found = match.group()
--- a/packages/damsonlane/src/damsonlane/settings/_tree.py
+++ b/packages/damsonlane/src/damsonlane/settings/_tree.py
@@ -1,4 +1,4 @@
-"""The settings tree: what operators write about the whole system."""
+"""The settings tree, in which operators configure the whole system."""
 
 import re
 from collections.abc import Iterator, Mapping
@@ -27,19 +27,19 @@
 Address = Annotated[str, Field(pattern=r"^(\d{1,3}(\.\d{1,3}){3}|\[[0-9a-f:]+\]):\d{1,5}$")]
 Digest = Annotated[str, Field(pattern=r"^[0-9a-f]{64}$")]
 
-#: Kinds of target that the daemon can call.
+#: Kinds of target, by the protocol used to call them.
 TargetKind = Literal["engine", "pool", "plain"]
-#: What an operator's token allows: reading, or changing as well.
+#: Rights of an operator: to read settings, or to change them as well.
 OperatorRole = Literal["reader", "editor"]
 
 
 @dataclass(frozen=True, kw_only=True)
 class Target:
-    """One back end of a service."""
+    """A back end of a service."""
 
     __pydantic_config__ = CLOSED
 
-    #: Address as an IP number and a port.
+    #: IP address and port.
     address: Address
     #: Data centre in which the target stands.
     data_centre: Name
@@ -47,17 +47,17 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Service:
-    """Targets that are interchangeable for a stage."""
+    """A set of interchangeable targets."""
 
     __pydantic_config__ = CLOSED
 
-    #: How the targets are spoken to.
+    #: Kind of its targets.
     kind: TargetKind
     #: The targets by name.
     targets: Mapping[Name, Target]
-    #: Model asked for at an engine.
+    #: Model requested from an engine.
     model: str = ""
-    #: Policy for stages that this service runs.
+    #: Policy of stages that this service runs.
     policy: Policy = field(default_factory=Policy)
 
 
@@ -69,19 +69,19 @@
 
     #: Name of the stage, unique in its pipeline.
     name: Name
-    #: Service that runs it.
+    #: Service that runs the stage.
     service: Name
 
 
 @dataclass(frozen=True, kw_only=True)
 class Pipeline:
-    """Stages that a request passes through in turn."""
+    """A sequence of stages that a request runs through."""
 
     __pydantic_config__ = CLOSED
 
     #: The stages in order.
     stages: Annotated[tuple[Stage, ...], Field(min_length=1, max_length=12)]
-    #: Whether a request may be run twice; if not, callers must send a key.
+    #: Whether a request may run twice; if not, callers must send an idempotency key.
     repeatable: bool = True
     #: Policy of this pipeline.
     policy: Policy = field(default_factory=Policy)
@@ -89,11 +89,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Organisation:
-    """A customer, whose data never meets another's."""
+    """A customer, whose data is kept apart from that of others."""
 
     __pydantic_config__ = CLOSED
 
-    #: SHA-256 digests of the bearer tokens that its callers may use.
+    #: SHA-256 digests of its callers' bearer tokens.
     token_digests: tuple[Digest, ...] = ()
     #: Its pipelines by name.
     pipelines: Mapping[Name, Pipeline] = field(default_factory=dict)
@@ -113,37 +113,37 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Event:
-    """A wave of requests with a fixed start."""
+    """A burst of requests with a scheduled start."""
 
     __pydantic_config__ = CLOSED
 
-    #: When the wave starts, with its offset from universal time.
+    #: Start of the burst, with its UTC offset.
     starts_at: AwareDatetime
     #: Seconds after the start within which its requests must be answered.
     answer_within_seconds: Annotated[float, Field(gt=0, le=86_400)]
-    #: Pipelines served, each as ``organisation/pipeline``.
+    #: Pipelines of its requests, each as ``organisation/pipeline``.
     pipelines: tuple[str, ...]
 
     def ends_at(self) -> float:
-        """Return the end as seconds since 1970."""
+        """Return the end of the event, in seconds since 1970."""
         return self.starts_at.timestamp() + self.answer_within_seconds
 
 
 @dataclass(frozen=True, kw_only=True)
 class Operator:
-    """Someone who may use the operator's command."""
+    """A person who may use the operator's command."""
 
     __pydantic_config__ = CLOSED
 
     #: SHA-256 digest of the operator's token.
     token_digest: Digest
-    #: What the operator may do.
+    #: Rights of the operator.
     role: OperatorRole
 
 
 @dataclass(frozen=True, kw_only=True)
 class Tree:
-    """The whole settings tree, checked."""
+    """The whole settings tree."""
 
     __pydantic_config__ = CLOSED
 
@@ -157,7 +157,7 @@
     organisations: Mapping[Name, Organisation] = field(default_factory=dict)
     #: Events by name.
     events: Mapping[Name, Event] = field(default_factory=dict)
-    #: Operators by name; while there are none, control asks for no token.
+    #: Operators by name; if there are none, control requires no token.
     operators: Mapping[Name, Operator] = field(default_factory=dict)
 
     def levels(self, data_centre: str, organisation: str, pipeline: str) -> tuple[Level, ...]:
@@ -181,17 +181,20 @@
     def stage_policy_of(
         self, data_centre: str, organisation: str, pipeline: str, service: str
     ) -> EffectivePolicy:
-        """Return the policy in force for one stage: the service stands above the pipeline."""
+        """Return the policy in force for a stage; the pipeline overrides the service."""
         *outer, inner = self.levels(data_centre, organisation, pipeline)
         level = Level(path=f"/services/{service}/policy", policy=self.services[service].policy)
         return resolve_policy((*outer, level, inner))
 
     def explain(self, data_centre: str, organisation: str, pipeline: str) -> tuple[Origin, ...]:
-        """Say where each effective value of a pipeline comes from."""
+        """Return the effective values of a pipeline, each with the level that sets it."""
         return explain_policy(self.levels(data_centre, organisation, pipeline))
 
     def event_end(self, organisation: str, pipeline: str, now: datetime) -> float | None:
-        """Return when the running event of a pipeline ends, in seconds since 1970, if one runs."""
+        """Return the end of a pipeline's running event, in seconds since 1970, or None.
+
+        If several events run, it is the earliest end.
+        """
         name = f"{organisation}/{pipeline}"
         ends = [
             event.ends_at()
@@ -206,10 +209,10 @@
 
 
 def check_tree(value: JsonValue) -> Tree | tuple[Finding, ...]:
-    """Check a whole tree, references between its parts included.
+    """Check a whole tree, including the references between its parts.
 
     Returns:
-        The tree, or all findings, each with its path.
+        The tree, or all findings with their paths.
     """
     checked = check_value(value, _ADAPTER, Tree)
     if not isinstance(checked, Tree):
@@ -219,10 +222,10 @@
 
 
 def read_tree(document: Document) -> Tree:
-    """Check a document as a settings tree.
+    """Read a document as a settings tree.
 
     Raises:
-        SettingsError: with all findings, each with line, column and path.
+        SettingsError: the tree is invalid; carries all findings with line, column and path.
     """
     checked = check_tree(document.value)
     if isinstance(checked, Tree):
--- a/packages/damsonlane/src/damsonlane/settings/_validation.py
+++ b/packages/damsonlane/src/damsonlane/settings/_validation.py
@@ -1,4 +1,4 @@
-"""Checking a parsed document against frozen data classes."""
+"""Validation of parsed documents against data classes."""
 
 import dataclasses
 import difflib
@@ -13,7 +13,7 @@
 
 Checked = TypeVar("Checked")
 
-#: Configuration of every settings class: unknown keys are findings.
+#: Pydantic configuration of every settings class: unknown keys are rejected.
 CLOSED: Final = ConfigDict(extra="forbid")
 
 _UNKNOWN_KEYS: Final = frozenset({"unexpected_keyword_argument", "extra_forbidden"})
@@ -27,10 +27,10 @@
     Args:
         value: the parsed document.
         adapter: the adapter of the data class.
-        shape: the data class itself, searched for near names of unknown keys.
+        shape: the data class, whose field names are suggested for unknown keys.
 
     Returns:
-        The typed value, or all findings (paths only; see `locate`).
+        The typed value, or all findings, without lines and columns; `locate` adds those.
     """
     try:
         return adapter.validate_python(value)
@@ -42,7 +42,7 @@
 
 
 def locate(findings: Sequence[Finding], document: Document) -> tuple[Finding, ...]:
-    """Return the findings with line and column of ``document`` filled in."""
+    """Return the findings with their lines and columns in ``document``."""
     return tuple(
         dataclasses.replace(finding, place=document.place(finding.place.path))
         for finding in findings
@@ -60,12 +60,12 @@
 
 
 def _is_sentinel(detail: ErrorDetails) -> bool:
-    """Tell whether a detail only says that a wrong value is not the sentinel either."""
+    """Return whether an error only reports that a value is not the `Inherit` sentinel."""
     return str(detail["loc"][-1]).startswith("enum[") if detail["loc"] else False
 
 
 def _is_union_tag(segment: int | str) -> bool:
-    """Tell whether a part of a location names a branch of a union, not a key."""
+    """Return whether a segment of a location is a branch of a union, not a key."""
     return isinstance(segment, str) and (
         segment in {"float", "int", "str", "Inherit", "bool"}
         or segment.startswith(("constrained-", "lax-or-strict[", "literal[", "function-"))
--- a/packages/damsonlane/src/damsonlane/settings/checks.py
+++ b/packages/damsonlane/src/damsonlane/settings/checks.py
@@ -1,4 +1,4 @@
-"""Checking further kinds of settings in the same way."""
+"""Validation functions for settings documents defined in other packages."""
 
 from damsonlane.settings._validation import CLOSED, check_value, locate
 
--- a/packages/damsonlane/src/damsonlane/settings/tests/test_settings.py
+++ b/packages/damsonlane/src/damsonlane/settings/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: findings with their places, inheritance, edits."""
+"""Settings: findings and their places, inheritance, edits."""
 
 import unittest
 from datetime import UTC, datetime, timedelta
@@ -63,10 +63,10 @@
 
 
 class FindingsTest(unittest.TestCase):
-    def test_a_good_tree_has_none(self) -> None:
+    def test_a_valid_tree_has_no_findings(self) -> None:
         self.assertEqual(_findings(_TREE), [])
 
-    def test_each_fault_is_found_at_its_place(self) -> None:
+    def test_each_fault_is_reported_at_its_place(self) -> None:
         cases = [
             (
                 '"weight": 2',
@@ -113,15 +113,15 @@
             with self.subTest(changed=changed):
                 self.assertEqual(_findings(_TREE.replace(written, changed, 1)), expected)
 
-    def test_all_findings_come_together(self) -> None:
+    def test_all_findings_are_reported_together(self) -> None:
         text = _TREE.replace('"weight": 2', '"weight": "x", "wait": 1', 1)
         self.assertEqual(len(_findings(text)), 2)
 
-    def test_broken_json_is_found_with_line_and_column(self) -> None:
+    def test_invalid_json_is_reported_with_line_and_column(self) -> None:
         (finding,) = _findings('{\n  "policy": {,}\n}')
         self.assertTrue(finding.startswith("tree.json:2:1"), finding)
 
-    def test_a_box_without_what_its_role_needs_is_found(self) -> None:
+    def test_missing_addresses_of_a_role_are_reported(self) -> None:
         text = """{"name": "entry-1", "data_centre": "johar", "role": "entry",
           "data_folder": "data", "internal_address": "127.0.0.1:1",
           "admin_address": "localhost:2", "control": []}"""
@@ -135,7 +135,7 @@
 
 
 class InheritanceTest(unittest.TestCase):
-    def test_children_inherit_and_say_where_from(self) -> None:
+    def test_inherited_values_and_their_origins(self) -> None:
         origins = {o.name: o for o in _tree().explain("gulberg", "bureau", "subtitle")}
         expected = [
             Origin(
@@ -149,11 +149,11 @@
         ]
         self.assertEqual([origins[origin.name] for origin in expected], expected)
 
-    def test_a_service_stands_between_organisation_and_pipeline(self) -> None:
+    def test_service_policy_ranks_between_organisation_and_pipeline(self) -> None:
         policy = _tree().stage_policy_of("johar", "bureau", "subtitle", "generate")
         self.assertEqual((policy.stage_attempts, policy.weight, policy.in_flight), (3, 4, 64))
 
-    def test_an_event_bounds_its_pipelines_while_it_runs(self) -> None:
+    def test_event_end_is_returned_only_while_the_event_runs(self) -> None:
         start = datetime(2026, 12, 2, 5, 0, tzinfo=UTC)
         moments = [start - timedelta(seconds=1), start, start + timedelta(seconds=60)]
         ends = [_tree().event_end("bureau", "subtitle", moment) for moment in moments]
@@ -161,7 +161,7 @@
 
 
 class EditTest(unittest.TestCase):
-    def test_what_each_edit_makes(self) -> None:
+    def test_result_of_each_edit(self) -> None:
         document: JsonValue = {"a": {"b": 1}}
         cases: list[tuple[Edit, JsonValue]] = [
             (Edit(path="/a/b", value=2), {"a": {"b": 2}}),
@@ -174,7 +174,7 @@
                 self.assertEqual(apply_edits(document, [edit]), expected)
         self.assertEqual(document, {"a": {"b": 1}})
 
-    def test_edits_that_lead_nowhere_are_findings_together(self) -> None:
+    def test_failed_edits_are_reported_together(self) -> None:
         edits = [
             Edit(path="a", value=1),
             Edit(path="/a/b/c", value=1),
@@ -188,7 +188,7 @@
             ["a path starts with '/'", "'c' is not inside an object", "nothing is here to remove"],
         )
 
-    def test_an_empty_tree_is_good(self) -> None:
+    def test_an_empty_tree_is_valid(self) -> None:
         empty: Any = check_tree({})
         self.assertEqual(empty, Tree())
 
