--- a/packages/damsonlaned/src/damsonlaned/control/__init__.py
+++ b/packages/damsonlaned/src/damsonlaned/control/__init__.py
@@ -1,7 +1,7 @@
-"""The control role: agreement between the boxes with disks."""
+"""The control role: boxes with disks that replicate the state of the system."""
 
-from damsonlaned.control._following import FollowingService
-from damsonlaned.control._group import GroupRepairer
+from damsonlaned.control._follow_service import FollowService
+from damsonlaned.control._group_manager import GroupManager
 from damsonlaned.control._membership import MembershipUpdater
 from damsonlaned.control._node import ControlNode
 from damsonlaned.control._registry import Registry
@@ -10,8 +10,8 @@
 __all__ = [
     "ControlNode",
     "ControlService",
-    "FollowingService",
-    "GroupRepairer",
+    "FollowService",
+    "GroupManager",
     "MembershipUpdater",
     "Registry",
 ]
--- /dev/null
+++ b/packages/damsonlaned/src/damsonlaned/control/_group_manager.py
@@ -0,0 +1,268 @@
+"""Automatic founding and repair of the control group."""
+
+import asyncio
+import contextlib
+import logging
+import random
+import ssl
+from collections.abc import Mapping
+from typing import Final
+
+from grpclib.const import Handler
+from grpclib.server import Stream
+
+from damsonlane.agreement import (
+    Admission,
+    Applicant,
+    Removal,
+    Replica,
+    find_gone,
+    judge_applicant,
+    may_found,
+    may_say_outsider,
+)
+from damsonlane.errors import AgreementError, NotLeaderError, StorageError, UnavailableError
+from damsonlane.settings import Founding
+from damsonlane_rpc import (
+    CALL_FAULTS,
+    JOIN,
+    ControlClient,
+    Done,
+    JoinReply,
+    JoinRequest,
+    NotAMember,
+    NotLeader,
+)
+from damsonlaned.control._node import ControlNode
+from damsonlaned.tasks import start_task
+
+_LOG: Final = logging.getLogger(__name__)
+
+#: Seconds between checks of the group.
+CHECK_INTERVAL_SECONDS: Final = 0.25
+#: Time-out of one join request, in seconds.
+JOIN_TIMEOUT_SECONDS: Final = 0.4
+#: Seconds without a leader after which a replica asks whether it is still a member.
+LEADERLESS_SECONDS: Final = 1.5
+#: Seconds after which the group accepts commands although it never reached its full size.
+FORMATION_TIMEOUT_SECONDS: Final = 10.0
+
+
+class GroupManager:
+    """Founds the group, requests admission to it, and removes lost members.
+
+    At the first start of the system, the box with the lowest seed address founds a
+    group of one; every other box requests admission.  A box that lost its disk rejoins
+    at the same address under a new replica name, and the leader removes the old name
+    when the new one requests admission.  An unreachable member is removed once the
+    group has more voters than configured.
+
+    Args:
+        node: the control node.
+        founding: settings of the founding and repair.
+        client: client of the group; its addresses are updated with those of the members.
+        context: TLS context for connections to other boxes, or None.
+    """
+
+    def __init__(
+        self,
+        node: ControlNode,
+        founding: Founding,
+        client: ControlClient,
+        context: ssl.SSLContext | None,
+    ) -> None:
+        self._node: Final = node
+        self._founding: Final = founding
+        self._group_client: Final = client
+        self._own_address: Final = node.settings.internal_address
+        self._join_client: Final = ControlClient((), context=context)
+        self._seeds = founding.seeds
+        self._task: asyncio.Task[None] | None = None
+        self._started_at = node.now()
+        self._leader_seen_at = node.now()
+
+    def start(self) -> None:
+        """Start checking the group."""
+        self._task = start_task(self._run(), "maintenance of the control group")
+
+    async def stop(self) -> None:
+        """Stop checking the group."""
+        if self._task is not None:
+            self._task.cancel()
+            with contextlib.suppress(asyncio.CancelledError):
+                await self._task
+        self._join_client.close()
+
+    def replace_seeds(self, seeds: tuple[str, ...]) -> None:
+        """Replace the seeds by those of reloaded settings."""
+        self._seeds = seeds
+
+    def accepts_commands(self) -> bool:
+        """Return whether the group is large enough to accept commands.
+
+        A group that has just been founded is too small: a command that it accepts might not
+        survive the loss of as many boxes as the settings allow.
+        """
+        replica = self._node.replica
+        if replica is None:
+            return False
+        if self._node.state.documents.document.version > 0:
+            return True
+        has_full_size = len(replica.members.voters) >= self._founding.voters
+        return has_full_size or self._node.now() - self._started_at > FORMATION_TIMEOUT_SECONDS
+
+    def handlers(self) -> Mapping[str, Handler]:
+        """Return the handlers of calls from other boxes, by path."""
+        return {JOIN.path: JOIN.handler(self._serve_join)}
+
+    # Periodic checks.
+
+    async def _run(self) -> None:
+        while True:
+            try:
+                await self._check_group()
+            except (AgreementError, StorageError) as error:
+                _LOG.warning("group change failed", extra={"fault": str(error)})
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS * random.uniform(0.8, 1.2))
+
+    async def _check_group(self) -> None:
+        replica = self._node.replica
+        if replica is None:
+            await self._join_or_found()
+            return
+        self._group_client.learn([member.address for member in replica.members.everyone()])
+        if replica.leader:
+            self._leader_seen_at = self._node.now()
+        if replica.is_leader:
+            self._remove_lost_member(replica)
+        elif self._node.now() - self._leader_seen_at > LEADERLESS_SECONDS:
+            await self._request_admission()
+
+    async def _join_or_found(self) -> None:
+        """Request admission; found the group if no box knows one and this box is to found it."""
+        if await self._request_admission():
+            return
+        settings = self._founding
+        if may_found(self._own_address, settings.seeds, is_first_start=settings.is_first_start):
+            self._node.found()
+            _LOG.info("group founded", extra={"cluster": self._node.identity.cluster})
+
+    async def _request_admission(self) -> bool:
+        """Send a join request to the leader.
+
+        If the leader answers that this replica was removed, reset it to a new identity.
+
+        Returns:
+            Whether any box knew a leader.
+        """
+        identity = self._node.identity
+        outcome = await self._ask_leader(
+            JoinRequest(
+                replica=identity.replica, address=self._own_address, cluster=identity.cluster
+            )
+        )
+        if isinstance(outcome, NotAMember) and identity == self._node.identity:
+            self._node.reset()
+        return outcome is not None
+
+    async def _ask_leader(self, request: JoinRequest) -> Done | NotLeader | NotAMember | None:
+        """Send a request to the known boxes, and to leaders they name, until a leader answers.
+
+        Returns:
+            The outcome from the leader; without one, the last outcome that names a leader,
+            or None.
+        """
+        addresses = self._known_addresses()
+        tried = {self._own_address}
+        hint: NotLeader | None = None
+        while addresses:
+            address = addresses.pop(0)
+            if address in tried:
+                continue
+            tried.add(address)
+            reply = await self._send_join_request(address, request)
+            if reply is None:
+                continue
+            if not isinstance(reply.outcome, NotLeader):
+                return reply.outcome
+            if reply.outcome.leader:
+                hint = reply.outcome
+                addresses.insert(0, hint.leader)
+        return hint
+
+    async def _send_join_request(self, address: str, request: JoinRequest) -> JoinReply | None:
+        try:
+            call = JOIN.unary(self._join_client.channel(address))
+            return await call(request, timeout=JOIN_TIMEOUT_SECONDS)
+        except CALL_FAULTS as error:
+            fault = str(error) or type(error).__name__
+            _LOG.debug("join request failed", extra={"address": address, "fault": fault})
+            return None
+
+    def _known_addresses(self) -> list[str]:
+        candidates = {*self._founding.seeds, *self._seeds}
+        if self._node.replica is not None:
+            candidates.update(member.address for member in self._node.replica.members.everyone())
+        candidates.discard(self._own_address)
+        addresses = sorted(candidates)
+        random.shuffle(addresses)
+        return addresses
+
+    # At the leader.
+
+    async def _serve_join(self, stream: Stream[JoinRequest, JoinReply]) -> None:
+        request = await stream.recv_message()
+        if request is not None:
+            applicant = Applicant(
+                replica=request.replica, address=request.address, cluster=request.cluster
+            )
+            await stream.send_message(JoinReply(outcome=await self._answer_join(applicant)))
+
+    async def _answer_join(self, applicant: Applicant) -> Done | NotLeader | NotAMember:
+        replica = self._node.replica
+        if replica is None or not replica.is_leader or self._node.state_age() is None:
+            return NotLeader(leader=replica.leader_address() if replica else "")
+        decision = judge_applicant(replica.members, applicant)
+        if decision.is_outsider:
+            return await self._confirm_removed(applicant)
+        if decision.change is not None:
+            self._try_change(decision.change)
+        return Done()
+
+    async def _confirm_removed(self, applicant: Applicant) -> NotLeader | NotAMember:
+        """Answer that a replica was removed, once a quorum confirms that this replica leads.
+
+        The removed replica erases its disk on that answer.  A leader that was deposed in the
+        meantime, or whose removal of the replica may still be undone, must not give it.
+        """
+        try:
+            await self._node.confirm()
+        except (NotLeaderError, UnavailableError) as error:
+            _LOG.info(
+                "removal of replica not confirmed",
+                extra={"replica": applicant.replica, "why": str(error)},
+            )
+            return NotLeader(leader="")
+        replica = self._node.replica
+        if replica is None or not may_say_outsider(replica):
+            return NotLeader(leader="")
+        was_removed = judge_applicant(replica.members, applicant).is_outsider
+        return NotAMember() if was_removed else NotLeader(leader="")
+
+    def _remove_lost_member(self, replica: Replica) -> None:
+        removal = find_gone(replica.members, replica.silence_of, self._founding.voters)
+        if removal is not None:
+            self._try_change(removal)
+
+    def _try_change(self, change: Admission | Removal) -> None:
+        """Change the group; if another change is in progress, a later check tries again."""
+        replica = change.member.replica
+        try:
+            if isinstance(change, Removal):
+                self._node.remove(replica)
+                _LOG.info("replica removed", extra={"replica": replica, "reason": change.reason})
+            else:
+                self._node.add(replica, change.member.address)
+                _LOG.info("replica admitted", extra={"replica": replica})
+        except (AgreementError, NotLeaderError) as error:
+            _LOG.debug("group change postponed", extra={"replica": replica, "why": str(error)})
--- a/packages/damsonlaned/src/damsonlaned/control/_known_services.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_known_services.py
@@ -1,4 +1,4 @@
-"""The services that the routing document in force has."""
+"""Services of the routing document in force."""
 
 from damsonlane.cluster import PackedDocument
 from damsonlane.errors import SettingsError
@@ -6,10 +6,10 @@
 
 
 class KnownServices:
-    """Reads each version of the document once.
+    """Caches the names of the services of the routing document.
 
     Args:
-        dialect: reads documents.
+        dialect: parses documents.
     """
 
     def __init__(self, dialect: Dialect) -> None:
@@ -18,7 +18,7 @@
         self._names: frozenset[str] = frozenset()
 
     def has(self, document: PackedDocument, service: str) -> bool:
-        """Tell whether a service may have targets: any may while there is no document."""
+        """Return whether the document has a service; without a document, always True."""
         if document.version == 0:
             return True
         if document.version != self._version:
@@ -30,6 +30,6 @@
         try:
             services = self._dialect.read_document(document.unpack()).services
         except SettingsError:
-            # It was checked before it was accepted, by a program of another version.
+            # Another version of the program accepted it, with other checks.
             return frozenset()
         return frozenset(service.name for service in services)
--- a/packages/damsonlaned/src/damsonlaned/control/_leader.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_leader_client.py
@@ -1,4 +1,4 @@
-"""The leader of the control group, wherever it is: committing and reading there."""
+"""Commits and reads at the leader of the control group, local or remote."""
 
 import logging
 from typing import Final
@@ -6,38 +6,38 @@
 from damsonlane.cluster import Command, PackedDocument, Reply
 from damsonlane.errors import NotLeaderError, UnavailableError
 from damsonlane_rpc import ControlClient, DocumentQuery, DocumentView, QueryRequest
-from damsonlaned.control._group import GroupRepairer
+from damsonlaned.control._group_manager import GroupManager
 from damsonlaned.control._node import ControlNode
 
 _LOG: Final = logging.getLogger(__name__)
 
-#: Seconds for which a caller waits for a quorum; targets and operators turn to
-#: another box after one second.
-CONFIRM_SECONDS: Final = 0.85
-#: Seconds after which another box is asked whether it leads.
-ATTEMPT_SECONDS: Final = 0.45
+#: Seconds to wait for the confirmation of a quorum; less than the one second after which
+#: targets and operators try another box.
+CONFIRM_TIMEOUT_SECONDS: Final = 0.85
+#: Time-out of one attempt at one replica, in seconds; after it another one is tried.
+ATTEMPT_TIMEOUT_SECONDS: Final = 0.45
 
 
-class Leader:
-    """Commits and reads at this replica if it leads, and by a call otherwise.
+class LeaderClient:
+    """Commits and reads at this replica if it leads, otherwise by a call to the leader.
 
     Args:
         node: the control node.
-        group: tells whether the group takes orders.
+        group: decides whether the group accepts commands.
         client: reaches the leader from a replica that does not lead.
     """
 
-    def __init__(self, node: ControlNode, group: GroupRepairer, client: ControlClient) -> None:
+    def __init__(self, node: ControlNode, group: GroupManager, client: ControlClient) -> None:
         self._node: Final = node
         self._group: Final = group
         self._client: Final = client
 
-    def is_here(self) -> bool:
-        """Tell whether this replica leads."""
+    def is_local(self) -> bool:
+        """Return whether this replica leads."""
         return self._node.replica is not None and self._node.replica.is_leader
 
     def address(self) -> str:
-        """Return the leader's internal address, or an empty string when it is not known."""
+        """Return the internal address of the leader, or an empty string if it is unknown."""
         replica = self._node.replica
         return replica.leader_address() if replica is not None else ""
 
@@ -45,17 +45,17 @@
         """Commit a command.
 
         Raises:
-            UnavailableError: not confirmed in time; the outcome is unknown.
+            UnavailableError: the command was not confirmed in time; its outcome is unknown.
         """
-        if not self._group.takes_orders():
+        if not self._group.accepts_commands():
             raise UnavailableError("the control group is still forming")
         try:
-            if self.is_here():
+            if self.is_local():
                 return (await self._node.submit([command]))[0]
         except NotLeaderError:
-            _LOG.debug("lost the lead while committing")
+            _LOG.debug("leadership lost during a commit")
         replies = await self._client.submit(
-            [command], CONFIRM_SECONDS, attempt_seconds=ATTEMPT_SECONDS
+            [command], CONFIRM_TIMEOUT_SECONDS, attempt_seconds=ATTEMPT_TIMEOUT_SECONDS
         )
         return replies[0]
 
@@ -63,16 +63,18 @@
         """Return the routing document in force.
 
         Raises:
-            UnavailableError: no quorum confirmed it in time.
+            UnavailableError: no quorum confirmed the read in time.
         """
         try:
-            if self.is_here():
+            if self.is_local():
                 await self._node.confirm()
                 return self._node.state.documents.document
         except NotLeaderError:
-            _LOG.debug("lost the lead while reading")
+            _LOG.debug("leadership lost during a read")
         reply = await self._client.query(
-            QueryRequest(query=DocumentQuery()), CONFIRM_SECONDS, attempt_seconds=ATTEMPT_SECONDS
+            QueryRequest(query=DocumentQuery()),
+            CONFIRM_TIMEOUT_SECONDS,
+            attempt_seconds=ATTEMPT_TIMEOUT_SECONDS,
         )
         if not isinstance(reply.outcome, DocumentView):
             raise UnavailableError("no quorum confirmed the document")
--- a/packages/damsonlaned/src/damsonlaned/control/_membership.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_membership.py
@@ -1,4 +1,4 @@
-"""Keeps the replicated list of boxes in step with what this replica hears."""
+"""Updates the replicated list of boxes from the reports that this replica receives."""
 
 import asyncio
 import contextlib
@@ -10,21 +10,20 @@
 from damsonlaned.control._node import ControlNode
 from damsonlaned.tasks import start_task
 
-#: Seconds between looks.
-LOOK_SECONDS: Final = 0.5
-#: Seconds of silence after which a box is gone.
-GONE_SECONDS: Final = 6.0
-#: Seconds after which the leader gives up the boxes that a silent replica heard.
-REPLICA_GONE_SECONDS: Final = 10.0
-#: Seconds for which one command may take.
-_CALL_SECONDS: Final = 5.0
+#: Seconds between updates.
+UPDATE_INTERVAL_SECONDS: Final = 0.5
+#: Seconds without a report after which a box is removed.
+BOX_TIMEOUT_SECONDS: Final = 6.0
+#: Seconds of silence of a replica after which the leader removes the boxes that report to it.
+REPLICA_TIMEOUT_SECONDS: Final = 10.0
+#: Time-out of a commit, in seconds.
+_COMMIT_TIMEOUT_SECONDS: Final = 5.0
 
 
 class MembershipUpdater:
-    """Notes boxes that this replica hears and gives up those it no longer hears.
+    """Adds boxes that report to this replica and removes those that stopped reporting.
 
-    Only changes are committed: a box that keeps reporting costs the leader
-    nothing.
+    Only changes are committed: an unchanged report causes no call to the leader.
     """
 
     def __init__(self, node: ControlNode, client: ControlClient) -> None:
@@ -33,11 +32,11 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Start looking."""
-        self._task = start_task(self._run(), "keeping the list of boxes")
+        """Start the updates."""
+        self._task = start_task(self._run(), "updates of the list of boxes")
 
     async def stop(self) -> None:
-        """Stop looking."""
+        """Stop the updates."""
         if self._task is not None:
             self._task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
@@ -46,19 +45,19 @@
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(LOOK_SECONDS)
-            commands = [*self._compare_own(), *self._compare_lost_replicas()]
+            await asyncio.sleep(UPDATE_INTERVAL_SECONDS)
+            commands = [*self._list_own_changes(), *self._list_removals_by_replica()]
             if commands:
                 with contextlib.suppress(UnavailableError):
-                    await self._client.submit(commands, _CALL_SECONDS)
+                    await self._client.submit(commands, _COMMIT_TIMEOUT_SECONDS)
 
-    def _compare_own(self) -> list[NoteBox | LoseBox]:
-        """Return what differs between the list and this replica's own sightings."""
+    def _list_own_changes(self) -> list[NoteBox | LoseBox]:
+        """Return the differences between the list and the reports received here."""
         commands: list[NoteBox | LoseBox] = []
-        for sighting in self._node.watchers.sightings(self._node.now()):
-            report = sighting.report
+        for received in self._node.watchers.list_reports(self._node.now()):
+            report = received.report
             known = self._node.state.membership.record_of(report.box)
-            if sighting.at >= GONE_SECONDS:
+            if received.at >= BOX_TIMEOUT_SECONDS:
                 self._node.watchers.forget(report.box)
                 commands.append(
                     LoseBox(
@@ -67,22 +66,22 @@
                         via=self._node.identity.replica,
                     )
                 )
-            elif known is None or not known.says_as(self._record(report)):
-                commands.append(NoteBox(record=self._record(report)))
+            elif known is None or not known.says_as(self._make_record(report)):
+                commands.append(NoteBox(record=self._make_record(report)))
         return commands
 
-    def _compare_lost_replicas(self) -> list[NoteBox | LoseBox]:
-        """Return, at the leader, the boxes that only a silent replica heard."""
+    def _list_removals_by_replica(self) -> list[NoteBox | LoseBox]:
+        """Return the removals of boxes that report to a silent replica, if this one leads."""
         replica = self._node.replica
         if replica is None or not replica.is_leader:
             return []
         return [
             LoseBox(box=record.box, incarnation=record.incarnation, via=record.via)
             for record in self._node.state.membership.records()
-            if replica.silence_of(record.via) > REPLICA_GONE_SECONDS
+            if replica.silence_of(record.via) > REPLICA_TIMEOUT_SECONDS
         ]
 
-    def _record(self, report: WatchReport) -> BoxRecord:
+    def _make_record(self, report: WatchReport) -> BoxRecord:
         return BoxRecord(
             box=report.box,
             incarnation=report.incarnation,
--- a/packages/damsonlaned/src/damsonlaned/control/_node.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_node.py
@@ -1,4 +1,4 @@
-"""The control node: drives a replica with the clock, the disk and the network."""
+"""The control node: connects a consensus replica to the clock, the disk and the network."""
 
 import asyncio
 import contextlib
@@ -33,7 +33,7 @@
     UnavailableError,
 )
 from damsonlane.settings import BoxSettings
-from damsonlaned.control._links import Links
+from damsonlaned.control._peer_streams import PeerStreams
 from damsonlaned.control._watchers import Watchers
 from damsonlaned.storage import (
     DataFolder,
@@ -47,36 +47,37 @@
 
 _LOG: Final = logging.getLogger(__name__)
 
-#: Applied entries after which the log is replaced by a snapshot.
+#: Applied log entries after which a snapshot replaces the log.
 ENTRIES_PER_SNAPSHOT: Final = 2_000
-#: Bytes of journal after which it is replaced by a snapshot.  Documents of 300 KB
-#: shrink to about 30 KB, so this is some hundred changes on a disk of 128 MB.
+#: Bytes appended to the journal after which a snapshot replaces it.  A document of
+#: 300 KB compresses to about 30 KB, so the journal holds about a hundred changes; the
+#: disk may be as small as 128 MB.
 BYTES_PER_SNAPSHOT: Final = 4 * 2**20
-#: Clock ticks in one election time.
+#: Clock ticks within one election timeout.
 TICKS_PER_ELECTION: Final = 20
-#: Election times for which a caller waits for its commands.
-PATIENCE: Final = 3.0
+#: Election timeouts for which a caller waits for a commit or a confirmed read.
+TIMEOUT_ELECTIONS: Final = 3.0
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Waiter:
-    """A caller that waits for an entry to be applied."""
+class _ProposedCommand:
+    """A proposed command whose caller waits until its log entry is applied."""
 
     #: Term in which the entry was proposed.
     term: int
-    #: Takes the reply.
+    #: Resolved with the reply.
     future: "asyncio.Future[Reply]"
 
 
 class ControlNode:
-    """One control box: replica, state, journal and streams to its fellows.
+    """One control box: replica, replicated state, journal and streams to its peers.
 
-    Everything runs on one asyncio loop, so no two steps of the replica overlap.
+    Everything runs on one asyncio event loop, so no two steps of the replica overlap.
 
     Args:
         settings: settings of the box.
         folder: its data folder, open.
-        context: TLS context towards other boxes, or None.
+        context: TLS context for connections to other boxes, or None.
     """
 
     def __init__(
@@ -89,20 +90,20 @@
         self.failure: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._folder: Final = folder.path
         self._journal: Final = Journal(folder.path)
-        self._links: Final = Links(settings.internal_address, context)
+        self._peers: Final = PeerStreams(settings.internal_address, context)
         self._applied = 0
         self._since_snapshot = 0
-        self._waiters: dict[int, _Waiter] = {}
+        self._proposed: dict[int, _ProposedCommand] = {}
         self._reads: dict[int, asyncio.Future[None]] = {}
         self._references = itertools.count(1)
-        self._pending: list[tuple[str, asyncio.Future[Reply]]] = []
+        self._unproposed: list[tuple[str, asyncio.Future[Reply]]] = []
         self._ticker: asyncio.Task[None] | None = None
         self.identity = self._open_identity()
 
-    # Life.
+    # Lifecycle.
 
     def start(self) -> None:
-        """Recover what the folder holds and start the clock.
+        """Recover the state in the folder and start the clock.
 
         Raises:
             StorageError: the folder can't be used or is damaged.
@@ -117,45 +118,45 @@
             self._ticker.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await self._ticker
-        await self._links.close()
+        await self._peers.close()
         self._journal.close()
 
-    def fault(self) -> StorageError | None:
-        """Return why the disk failed, or None if it did not."""
+    def disk_error(self) -> StorageError | None:
+        """Return the error with which the disk failed, or None."""
         error = self.failure.exception() if self.failure.done() else None
         return error if isinstance(error, StorageError) else None
 
     def now(self) -> float:
-        """Return the monotonic clock, in seconds."""
+        """Return the time of the monotonic clock, in seconds."""
         return asyncio.get_running_loop().time()
 
-    # What services ask.
+    # Calls from services.
 
     async def submit(self, commands: Sequence[Command]) -> tuple[Reply, ...]:
-        """Commit commands together with whatever else arrives at the moment.
+        """Commit commands, batched with others submitted in the same turn of the event loop.
 
         Raises:
-            NotLeaderError: another replica leads.
+            NotLeaderError: this replica is not the leader.
             UnavailableError: the outcome is unknown.
         """
         self._require_replica()
         loop = asyncio.get_running_loop()
         futures = [loop.create_future() for _ in commands]
-        if not self._pending:
-            loop.call_soon(self._flush)
+        if not self._unproposed:
+            loop.call_soon(self._propose_submitted)
         for command, future in zip(commands, futures, strict=True):
-            self._pending.append((encode_command(command), future))
+            self._unproposed.append((encode_command(command), future))
         try:
-            patience = PATIENCE * self.settings.election_seconds
-            return tuple(await asyncio.wait_for(asyncio.gather(*futures), patience))
+            timeout_seconds = TIMEOUT_ELECTIONS * self.settings.election_seconds
+            return tuple(await asyncio.wait_for(asyncio.gather(*futures), timeout_seconds))
         except TimeoutError:
             raise UnavailableError("no quorum confirmed the commands in time") from None
 
     async def confirm(self) -> None:
-        """Wait until the state here is as new as every change accepted before this call.
+        """Wait until the state of this replica includes every change accepted before this call.
 
         Raises:
-            NotLeaderError: another replica leads.
+            NotLeaderError: this replica is not the leader.
             UnavailableError: no quorum confirmed it in time.
         """
         replica = self._require_replica()
@@ -163,27 +164,27 @@
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._reads[reference] = future
         try:
-            self._carry_out(replica.read(self.now(), reference))
-            await asyncio.wait_for(future, PATIENCE * self.settings.election_seconds)
+            self._process_output(replica.read(self.now(), reference))
+            await asyncio.wait_for(future, TIMEOUT_ELECTIONS * self.settings.election_seconds)
         except TimeoutError:
             raise UnavailableError("no quorum confirmed the read in time") from None
         finally:
             self._reads.pop(reference, None)
 
     def receive(self, envelope: Envelope) -> None:
-        """Take an envelope from another replica."""
+        """Process an envelope from another replica."""
         if envelope.receiver != self.identity.replica:
             return
-        self._links.learn(envelope.sender, envelope.sender_address)
+        self._peers.update_address(envelope.sender, envelope.sender_address)
         if not self.identity.cluster:
-            self._join(envelope.cluster)
-        self._carry_out(self._require_replica().receive(self.now(), envelope))
+            self._join_cluster(envelope.cluster)
+        self._process_output(self._require_replica().receive(self.now(), envelope))
 
     def found(self) -> None:
-        """Found a group of which this box is the only member.
+        """Found a control group with this box as its only member.
 
         Raises:
-            AgreementError: the box belongs to a group already.
+            AgreementError: the box already belongs to a group.
         """
         if self.identity.cluster:
             raise AgreementError(f"this box belongs to the group {self.identity.cluster} already")
@@ -195,83 +196,83 @@
         self._start_replica(stored)
 
     def add(self, replica: str, address: str) -> None:
-        """Admit a replica as a learner."""
+        """Add a replica as a learner."""
         member = Member(replica=replica, address=address)
-        group = self._require_replica()
-        if group.is_leader and member in group.members.everyone():
-            # Clients send a call again when its answer is late.
+        own_replica = self._require_replica()
+        if own_replica.is_leader and member in own_replica.members.everyone():
+            # A client retries a call whose reply is late; the retry must succeed too.
             return
-        self._carry_out(group.add_learner(self.now(), member))
+        self._process_output(own_replica.add_learner(self.now(), member))
 
     def remove(self, replica: str) -> None:
         """Remove a member."""
-        group = self._require_replica()
-        self._carry_out(group.remove(self.now(), replica))
+        own_replica = self._require_replica()
+        self._process_output(own_replica.remove(self.now(), replica))
 
     def state_age(self) -> float | None:
-        """Return how old the state here may be, in seconds; None when that is unknown."""
+        """Return the largest possible age of the state here, in seconds; None if unknown."""
         if self.replica is None:
             return None
         age = self.replica.state_age(self.now())
         return age if age < float("inf") else None
 
     def is_current(self) -> bool:
-        """Tell whether this replica leads or has heard from a leader lately."""
+        """Return whether this replica is the leader or recently received messages from it."""
         return self.replica is not None and self.replica.leader != ""
 
-    # Driving the replica.
+    # Driving the replica: clock, proposals and outputs.
 
     async def _tick(self) -> None:
         interval = self.settings.election_seconds / TICKS_PER_ELECTION
         while not self.failure.done():
             if self.replica is not None:
                 with contextlib.suppress(StorageError):
-                    self._carry_out(self.replica.tick(self.now()))
+                    self._process_output(self.replica.tick(self.now()))
             await asyncio.sleep(interval)
 
-    def _flush(self) -> None:
-        """Propose everything that arrived since the last turn of the loop."""
-        pending = [(text, future) for text, future in self._pending if not future.done()]
-        self._pending.clear()
+    def _propose_submitted(self) -> None:
+        """Propose the commands submitted since the last turn of the event loop."""
+        unproposed = [(text, future) for text, future in self._unproposed if not future.done()]
+        self._unproposed.clear()
         replica = self.replica
-        if replica is None or not pending:
+        if replica is None or not unproposed:
             return
         try:
-            output, entries = replica.propose(self.now(), [text for text, _ in pending])
+            output, entries = replica.propose(self.now(), [text for text, _ in unproposed])
         except NotLeaderError as error:
-            for _, future in pending:
+            for _, future in unproposed:
                 future.set_exception(error)
             return
-        for entry, (_, future) in zip(entries, pending, strict=True):
-            self._waiters[entry.index] = _Waiter(term=entry.term, future=future)
-        self._carry_out(output)
+        for entry, (_, future) in zip(entries, unproposed, strict=True):
+            self._proposed[entry.index] = _ProposedCommand(term=entry.term, future=future)
+        self._process_output(output)
 
-    def _carry_out(self, output: Output) -> None:
-        """Carry out an output in its order: disk, network, state, readers."""
+    def _process_output(self, output: Output) -> None:
+        """Process an output in the required order: disk, network, state, reads."""
         replica = self._require_replica()
-        follow_up = None
+        next_output = None
         if not output.persist.is_empty():
-            with self._writing():
+            with self._stop_on_write_failure():
                 self._journal.append(output.persist)
-            follow_up = replica.acknowledge_persist()
-        self._links.follow(replica.members.everyone())
+            next_output = replica.acknowledge_persist()
+        self._peers.update_members(replica.members.everyone())
         for envelope in output.envelopes:
-            self._links.send(envelope)
+            self._peers.send(envelope)
         if output.installed is not None:
             self._install(output.installed)
         for entry in output.committed:
             self._apply(entry)
         self._finish_reads(output)
-        if follow_up is not None and follow_up != Output():
-            self._carry_out(follow_up)
+        if next_output is not None and next_output != Output():
+            self._process_output(next_output)
         self._compact_if_due()
 
     @contextlib.contextmanager
-    def _writing(self) -> Iterator[None]:
-        """Fall silent for good if the disk fails.
+    def _stop_on_write_failure(self) -> Iterator[None]:
+        """Stop the replica if a write fails.
 
-        The replica then believes in entries that are on no disk, and a
-        repeated heartbeat would acknowledge them.
+        After a failed write the replica holds entries in memory that are not on the disk,
+        and the reply to the next heartbeat would acknowledge them.
         """
         try:
             yield
@@ -284,26 +285,26 @@
     def _install(self, snapshot: Snapshot) -> None:
         self.state = ClusterState.from_text(snapshot.state)
         self._applied = snapshot.index
-        self.watchers.announce()
+        self.watchers.notify_all()
 
     def _apply(self, entry: LogEntry) -> None:
-        before = self._marks()
+        before = self._pushed_versions()
         reply: Reply | None = None
         if isinstance(entry.body, Opaque):
             reply = self.state.apply(decode_command(entry.body.text))
         self._applied = entry.index
         self._since_snapshot += 1
-        waiter = self._waiters.pop(entry.index, None)
-        if waiter is not None and not waiter.future.done():
-            if waiter.term == entry.term and reply is not None:
-                waiter.future.set_result(reply)
+        proposed = self._proposed.pop(entry.index, None)
+        if proposed is not None and not proposed.future.done():
+            if proposed.term == entry.term and reply is not None:
+                proposed.future.set_result(reply)
             else:
-                waiter.future.set_exception(UnavailableError("another leader took over"))
-        if self._marks() != before:
-            self.watchers.announce()
+                proposed.future.set_exception(UnavailableError("another leader took over"))
+        if self._pushed_versions() != before:
+            self.watchers.notify_all()
 
-    def _marks(self) -> tuple[int, ...]:
-        """Return what changes whenever a box that follows must be told something."""
+    def _pushed_versions(self) -> tuple[int, ...]:
+        """Return the versions and counts of everything that is pushed to watching boxes."""
         state = self.state
         return (
             state.settings.version,
@@ -331,7 +332,7 @@
             return
         self._since_snapshot = 0
         replica.compact(self.state.to_text(), self._applied)
-        with self._writing():
+        with self._stop_on_write_failure():
             self._journal.rewrite(replica.stored())
 
     def _is_snapshot_due(self) -> bool:
@@ -344,7 +345,7 @@
     def _open_identity(self) -> Identity:
         identity = read_identity(self._folder)
         if identity is None:
-            # The journal comes first: a folder with an identity always has one.
+            # The journal is created first, so that a folder with an identity always has one.
             self._journal.create()
             identity = draw_identity(self.settings.name)
             write_identity(self._folder, identity)
@@ -355,30 +356,32 @@
             )
         return identity
 
-    def _join(self, cluster: str) -> None:
+    def _join_cluster(self, cluster: str) -> None:
         self._write_cluster(cluster)
         self._start_replica(Stored(hard_state=HardState(), snapshot=EMPTY_SNAPSHOT))
 
     def _recover(self) -> None:
-        """Read the journal; a damaged one is as good as a lost disk where repair is by itself."""
+        """Read the journal; with automatic repair, treat a damaged one as a lost disk."""
         try:
             self._start_replica(self._journal.recover())
         except CorruptionError as error:
             if self.settings.founding is None:
                 raise
             _LOG.error("journal damaged", extra={"fault": str(error)})
-            self.start_anew()
+            self.reset()
 
-    def start_anew(self) -> None:
-        """Forget everything and wait to be admitted under a new name."""
+    def reset(self) -> None:
+        """Discard all state and wait for admission under a new replica name."""
         self.replica = None
         self.state = ClusterState()
         self._applied = 0
-        # The new name comes first: with it, what the old journal holds no longer counts.
+        # The identity is replaced first: it makes the content of the old journal invalid.
         self.identity = draw_identity(self.settings.name)
         write_identity(self._folder, self.identity)
         self._journal.create()
-        _LOG.warning("started anew", extra={"replica": self.identity.replica})
+        _LOG.warning(
+            "replica reset; waiting for admission", extra={"replica": self.identity.replica}
+        )
 
     def _write_cluster(self, cluster: str) -> None:
         self.identity = self.identity.with_cluster(cluster)
@@ -395,7 +398,7 @@
             randomness=random.Random(),
             now=self.now(),
         )
-        self._links.follow(self.replica.members.everyone())
+        self._peers.update_members(self.replica.members.everyone())
         _LOG.info("replica started", extra={"replica": self.identity.replica})
 
     def _require_replica(self) -> Replica:
--- a/packages/damsonlaned/src/damsonlaned/control/_process.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_process.py
@@ -1,4 +1,4 @@
-"""Running a control replica."""
+"""The process of a control replica."""
 
 import asyncio
 import logging
@@ -19,8 +19,8 @@
     wait_for_stop,
 )
 from damsonlaned.admin import Admin
-from damsonlaned.control._following import FollowingService
-from damsonlaned.control._group import GroupRepairer
+from damsonlaned.control._follow_service import FollowService
+from damsonlaned.control._group_manager import GroupManager
 from damsonlaned.control._membership import MembershipUpdater
 from damsonlaned.control._node import ControlNode
 from damsonlaned.control._rate_limits import RateLimitService
@@ -32,51 +32,56 @@
 
 _LOG: Final = logging.getLogger(__name__)
 
-#: Seconds between looks at a disk that failed: half of an election time, since a
-#: replica that comes back has to hear of a leader anyway.
+#: Seconds between probes of a failed disk: half of an election timeout, since a
+#: restarted replica has to wait for a leader anyway.
 DISK_LOOK_SECONDS: Final = 0.5
 
 
 async def run_control(
     settings: BoxSettings, folder: DataFolder, keys: Keys, reload: Reload | None
 ) -> None:
-    """Run the replica until it is told to stop.
+    """Run the replica until the process is told to stop.
 
-    A disk that fails costs the time until it takes writes again: the replica
-    falls silent as if its process had ended, and starts again from what the
-    disk holds.
+    If the disk fails, the replica stops as after a crash.  Once the disk accepts writes
+    again, it restarts in the same process and recovers its state from the disk.
+
+    Args:
+        settings: settings of the box.
+        folder: its data folder, open.
+        keys: its TLS contexts.
+        reload: reads the settings again; None where they can't change.
 
     Raises:
-        StorageError: its folder can't be used.
+        StorageError: the data folder can't be used.
     """
     running: list[_RunningReplica] = []
 
-    def take_over(newer: BoxSettings) -> None:
+    def apply_settings(newer: BoxSettings) -> None:
         for replica in running:
-            replica.take_over(newer)
+            replica.apply_settings(newer)
 
-    watch = SettingsWatch(settings, reload, take_over)
-    # Signals are taken from here on, whatever the replica and its disk do.
+    watch = SettingsWatch(settings, reload, apply_settings)
+    # Signals are handled from here on, in whatever state the replica and its disk are.
     stop = asyncio.create_task(wait_for_stop(watch))
     try:
         while await _wait_for_disk(folder, stop):
             replica = _RunningReplica(watch.settings, folder, keys)
             running[:] = [replica]
-            fault = await replica.run(stop)
-            if fault is None:
+            error = await replica.run(stop)
+            if error is None:
                 return
-            _LOG.error("disk failed", extra={"fault": str(fault)})
+            _LOG.error("disk failed", extra={"fault": str(error)})
     finally:
         stop.cancel()
 
 
 async def _wait_for_disk(folder: DataFolder, stop: "asyncio.Task[None]") -> bool:
-    """Wait until the disk takes writes; return False if told to stop before that."""
+    """Wait until the disk accepts writes; return False if told to stop before."""
     while not stop.done():
         try:
             folder.probe()
         except StorageError as error:
-            _LOG.warning("disk takes no writes", extra={"fault": str(error)})
+            _LOG.warning("disk does not accept writes", extra={"fault": str(error)})
         else:
             return True
         await asyncio.wait({stop}, timeout=DISK_LOOK_SECONDS)
@@ -84,7 +89,7 @@
 
 
 class _RunningReplica:
-    """A replica with everything that serves beside it, until it stops or its disk fails.
+    """A replica with all services of its process, until it stops or its disk fails.
 
     Args:
         settings: settings of the box.
@@ -101,9 +106,9 @@
         self._metrics: Final = Metrics()
         self._node: Final = ControlNode(settings, folder, keys.client)
         self._admin: Final = Admin(
-            settings.admin_address, self._metrics, self._node.is_current, self._refresh
+            settings.admin_address, self._metrics, self._node.is_current, self._update_metrics
         )
-        self._client: Final = ControlClient(_list_control(settings), context=keys.client)
+        self._client: Final = ControlClient(_list_control_addresses(settings), context=keys.client)
         self._membership: Final = MembershipUpdater(self._node, self._client)
         self._limits: Final = RateLimitService(self._node)
         self._group: Final = _make_group(settings, self._node, self._client, keys)
@@ -111,14 +116,17 @@
             settings.gateway, self._node, self._group, self._client
         )
 
-    def take_over(self, newer: BoxSettings) -> None:
-        """Learn the addresses that reloaded settings name."""
+    def apply_settings(self, newer: BoxSettings) -> None:
+        """Update the addresses from reloaded settings."""
         self._client.learn(newer.control)
         if self._group is not None and newer.founding is not None:
             self._group.replace_seeds(newer.founding.seeds)
 
     async def run(self, stop: "asyncio.Task[None]") -> StorageError | None:
-        """Serve until told to stop or the disk fails; return the disk's fault.
+        """Serve until told to stop or the disk fails.
+
+        Returns:
+            The error with which the disk failed, or None if told to stop.
 
         Raises:
             StorageError: the folder or an address can't be used.
@@ -131,12 +139,12 @@
         await asyncio.wait({stop, self._node.failure}, return_when=asyncio.FIRST_COMPLETED)
         await self._stop(server)
         _LOG.info("stopped")
-        return self._node.fault()
+        return self._node.disk_error()
 
     def _handlers(self) -> dict[str, Handler]:
-        """Return the calls besides those of every replica, by their paths."""
+        """Return the handlers besides those of `ControlService`, by path."""
         return {
-            **FollowingService(self._node).handlers(),
+            **FollowService(self._node).handlers(),
             **self._limits.handlers(),
             **(self._group.handlers() if self._group else {}),
             **(self._registry.handlers() if self._registry else {}),
@@ -163,7 +171,7 @@
         await close_server(server)
         await self._admin.stop()
 
-    def _refresh(self) -> None:
+    def _update_metrics(self) -> None:
         replica = self._node.replica
         self._metrics.version.set({}, self._node.state.settings.version)
         evacuated = self._node.state.evacuations.list_for_entries().data_centres
@@ -172,22 +180,22 @@
         self._metrics.is_leader.set({}, 1 if replica and replica.is_leader else 0)
 
 
-def _list_control(settings: BoxSettings) -> tuple[str, ...]:
+def _list_control_addresses(settings: BoxSettings) -> tuple[str, ...]:
     own = settings.internal_address
     return (own, *(address for address in settings.control if address != own))
 
 
 def _make_group(
     settings: BoxSettings, node: ControlNode, client: ControlClient, keys: Keys
-) -> GroupRepairer | None:
+) -> GroupManager | None:
     founding: Founding | None = settings.founding
-    return GroupRepairer(node, founding, client, keys.client) if founding is not None else None
+    return GroupManager(node, founding, client, keys.client) if founding is not None else None
 
 
 def _make_registry(
-    gateway: Gateway | None, node: ControlNode, group: GroupRepairer | None, client: ControlClient
+    gateway: Gateway | None, node: ControlNode, group: GroupManager | None, client: ControlClient
 ) -> Registry | None:
-    """Return the registry, or None at a box that has no address for it."""
+    """Return the registry, or None if the settings have no address for it."""
     if group is None or gateway is None or not gateway.registry_address:
         return None
     return Registry(
--- a/packages/damsonlaned/src/damsonlaned/control/_rate_limits.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_rate_limits.py
@@ -1,7 +1,7 @@
-"""Rate limits of targets at control: told to all boxes, and shared among entries of pipelines.
+"""Rate limits of targets at control: replication to all boxes, and permits for pipelines.
 
-Entries of routes choose an owner for each service among themselves.  Those of pipelines know no
-list of each other, so the leader of the control group issues their permits.
+Entries of routes choose an owner of each service among themselves, which issues its permits.
+Entries of pipelines do not know each other, so the leader of the control group issues theirs.
 """
 
 import asyncio
@@ -26,16 +26,16 @@
 
 _LOG: Final = logging.getLogger(__name__)
 
-#: Seconds between commits of what is new: a target that names another limit with each answer
-#: costs two commits a second, with all others together.
-TELL_SECONDS: Final = 0.5
-#: Age, in seconds, of what a leader that has just begun knows of limits: any box that has heard
-#: a target knows better.
-LISTED_AGE: Final = 3_600.0
+#: Seconds between commits of changed limits.  Changes of all targets are batched, so a target
+#: that announces another limit with each response causes at most two commits a second.
+COMMIT_INTERVAL_SECONDS: Final = 0.5
+#: Age, in seconds, that a new leader assumes for the replicated limits, so that every report
+#: from a box replaces them.
+LISTED_AGE_SECONDS: Final = 3_600.0
 
 
 class RateLimitService:
-    """Takes what boxes heard, issues permits where this replica leads, and tells all boxes.
+    """Collects reported rate limits, issues permits, and replicates the limits, at the leader.
 
     Args:
         node: the control node.
@@ -43,21 +43,21 @@
 
     def __init__(self, node: ControlNode) -> None:
         self._node: Final = node
-        self._book = RateLimitBook()
-        self._issuer = PermitIssuer(self._book)
+        self._table = RateLimitBook()
+        self._issuer = PermitIssuer(self._table)
         self._term = 0
         self._task: asyncio.Task[None] | None = None
 
     def handlers(self) -> Mapping[str, Handler]:
-        """Return the calls that boxes make."""
+        """Return the handlers of calls from boxes, by path."""
         return {PERMIT.path: PERMIT.handler(self._serve)}
 
     def start(self) -> None:
-        """Start telling all boxes."""
-        self._task = start_task(self._tell_all(), "telling rate limits")
+        """Start committing changed limits."""
+        self._task = start_task(self._commit_changes(), "commits of rate limits")
 
     async def stop(self) -> None:
-        """Stop telling."""
+        """Stop committing changed limits."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -65,51 +65,53 @@
     async def _serve(self, stream: Stream[PermitRequest, PermitReply]) -> None:
         request = await stream.recv_message()
         if request is not None:
-            await stream.send_message(self._take(request))
+            await stream.send_message(self._answer(request))
 
-    def _take(self, request: PermitRequest) -> PermitReply:
+    def _answer(self, request: PermitRequest) -> PermitReply:
         replica = self._node.replica
         if replica is None or not replica.is_leader:
             leader = replica.leader_address() if replica is not None else ""
             return PermitReply(outcome=NotLeader(leader=leader))
         self._begin_term(replica.term)
         now = self._node.now()
-        for word in request.words:
-            if self._book.note(word, now):
-                # From now on a place comes free, whether or not somebody wants it yet.
-                self._issuer.wait_seconds(word.named, 1.0, now)
+        for report in request.words:
+            if self._table.note(report, now):
+                # Starts to fill the token bucket now, not at the first request for a permit.
+                self._issuer.wait_seconds(report.named, 1.0, now)
         issued = (self._issuer.issue(request.service, order, 1.0, now) for order in request.orders)
         return PermitReply(outcome=Permits(permits=tuple(issued)))
 
     def _begin_term(self, term: int) -> None:
-        """Start with what all boxes were told, where this replica leads anew.
+        """Reset to the replicated limits at the first request in a new term of this leader.
 
-        What the leader before it issued is not known here, so every bucket starts empty.
+        The permits that the previous leader issued are not known here, so every token bucket
+        starts empty.
         """
         if term == self._term:
             return
         self._term = term
-        self._book = RateLimitBook()
-        self._issuer = PermitIssuer(self._book)
-        for word in self._node.state.rate_limits.list_all().words:
-            self._book.note(
-                RateWord(named=word.named, rate=word.rate, age=LISTED_AGE), self._node.now()
+        self._table = RateLimitBook()
+        self._issuer = PermitIssuer(self._table)
+        for report in self._node.state.rate_limits.list_all().words:
+            self._table.note(
+                RateWord(named=report.named, rate=report.rate, age=LISTED_AGE_SECONDS),
+                self._node.now(),
             )
 
-    async def _tell_all(self) -> None:
+    async def _commit_changes(self) -> None:
         while True:
-            await asyncio.sleep(TELL_SECONDS)
+            await asyncio.sleep(COMMIT_INTERVAL_SECONDS)
             replica = self._node.replica
             if replica is None or not replica.is_leader or replica.term != self._term:
                 continue
-            told = self._node.state.rate_limits.list_all()
-            words = list_untold(self._book, told, self._node.now())
-            if words:
-                await self._commit(words)
+            replicated = self._node.state.rate_limits.list_all()
+            reports = list_untold(self._table, replicated, self._node.now())
+            if reports:
+                await self._commit(reports)
 
-    async def _commit(self, words: tuple[RateWord, ...]) -> None:
+    async def _commit(self, reports: tuple[RateWord, ...]) -> None:
         try:
-            await self._node.submit([NoteRateLimits(words=words)])
+            await self._node.submit([NoteRateLimits(words=reports)])
         except (NotLeaderError, UnavailableError) as error:
-            # What is still new is told at the next turn.
-            _LOG.info("rate limits not told", extra={"fault": str(error)})
+            # The next turn of the loop commits them.
+            _LOG.info("rate limits not committed", extra={"fault": str(error)})
--- a/packages/damsonlaned/src/damsonlaned/control/_registry.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_registry.py
@@ -1,4 +1,4 @@
-"""The address of control for targets and operators."""
+"""HTTP interface of control for targets and operators: heartbeats, documents, evacuations."""
 
 import asyncio
 import logging
@@ -24,10 +24,10 @@
     find_record_fault,
 )
 from damsonlane_rpc import HEARD, ControlClient, Done, HeardReply, HeardRequest, NotLeader
-from damsonlaned.control._group import GroupRepairer
-from damsonlaned.control._heard import HeardTargets
+from damsonlaned.control._group_manager import GroupManager
+from damsonlaned.control._heartbeat_tracker import HeartbeatTracker
 from damsonlaned.control._known_services import KnownServices
-from damsonlaned.control._leader import Leader
+from damsonlaned.control._leader_client import LeaderClient
 from damsonlaned.control._node import ControlNode
 from damsonlaned.control._service import REGISTRY
 from damsonlaned.dialects import (
@@ -47,37 +47,37 @@
 
 _LOG: Final = logging.getLogger(__name__)
 
-#: Seconds after which a caller that was refused for want of a quorum should come back.
-RETRY_SECONDS: Final = 0.3
-#: Heartbeats that may be missing before a target counts as silent.
+#: Seconds after which a caller that was refused for lack of a quorum should retry.
+RETRY_AFTER_SECONDS: Final = 0.3
+#: Number of missed heartbeats after which a target counts as silent.
 SILENT_HEARTBEATS: Final = 5
-#: Seconds between looks for silent targets.
-LOOK_SECONDS: Final = 1.0
-#: Seconds between two lines of the log about calls that can't be understood.
-BAD_LINES_SECONDS: Final = 1.0
-#: Characters of such a call that are logged.
-MOST_CALL_TEXT: Final = 120
-#: Seconds for which telling the leader which targets were heard may take.
-TELL_SECONDS: Final = 0.85
+#: Seconds between checks for silent targets.
+CHECK_INTERVAL_SECONDS: Final = 1.0
+#: Seconds between two log lines about invalid calls.
+INVALID_CALL_LOG_SECONDS: Final = 1.0
+#: Characters of an invalid call that are logged.
+MAX_LOGGED_CALL_LENGTH: Final = 120
+#: Time-out of a report of received heartbeats to the leader, in seconds.
+REPORT_TIMEOUT_SECONDS: Final = 0.85
 
 
 class Registry:
-    """Takes heartbeats and documents.
+    """Serves heartbeats of targets, and documents and evacuations of operators, over HTTP.
 
     Args:
         node: the control node.
-        group: tells whether the group takes orders.
+        group: decides whether the group accepts commands.
         client: reaches the leader from a replica that does not lead.
-        dialect: how targets and operators speak.
-        address: where to listen.
+        dialect: parses and renders the calls of targets and operators.
+        address: address to listen at.
         heartbeat_seconds: time between heartbeats of a target.
-        data_centres: names of those that there are; empty where any is taken.
+        data_centres: names of the data centres that can be evacuated; empty for any.
     """
 
     def __init__(
         self,
         node: ControlNode,
-        group: GroupRepairer,
+        group: GroupManager,
         client: ControlClient,
         dialect: Dialect,
         address: str,
@@ -87,73 +87,73 @@
         self._node: Final = node
         self._data_centres: Final = frozenset(data_centres)
         self._services: Final = KnownServices(dialect)
-        self._cold: Final = ColdNews()
-        self._bad_lines: Final = LineBound(BAD_LINES_SECONDS)
-        self._leader: Final = Leader(node, group, client)
+        self._warmups: Final = ColdNews()
+        self._invalid_call_log: Final = LineBound(INVALID_CALL_LOG_SECONDS)
+        self._leader: Final = LeaderClient(node, group, client)
         self._dialect: Final = dialect
         self._port: Final = address.rpartition(":")[2]
         self._client: Final = client
-        self._heard: Final = HeardTargets(SILENT_HEARTBEATS * heartbeat_seconds)
-        self._looking: asyncio.Task[None] | None = None
+        self._heartbeats: Final = HeartbeatTracker(SILENT_HEARTBEATS * heartbeat_seconds)
+        self._check_task: asyncio.Task[None] | None = None
         self._listener: Final = WebListener(
-            address, self._serve, render_refusal=self._render_bad_bytes
+            address, self._serve_http, render_refusal=self._render_refusal
         )
 
     def handlers(self) -> Mapping[str, Handler]:
-        """Return the calls that other replicas make."""
-        return {HEARD.path: HEARD.handler(self._take_heard)}
+        """Return the handlers of calls from other replicas, by path."""
+        return {HEARD.path: HEARD.handler(self._serve_heard)}
 
     async def start(self) -> None:
         """Start listening.
 
         Raises:
-            StorageError: the address can't be had.
+            StorageError: the address can't be used.
         """
         await self._listener.start()
-        self._looking = start_task(self._look(), "looking for silent targets")
+        self._check_task = start_task(self._check_targets(), "checks for silent targets")
 
     async def stop(self) -> None:
         """Stop listening."""
-        if self._looking is not None:
-            self._looking.cancel()
+        if self._check_task is not None:
+            self._check_task.cancel()
         await self._listener.stop()
 
     # Calls.
 
-    async def _serve(self, request: HttpRequest, reply: Reply) -> None:
+    async def _serve_http(self, request: HttpRequest, reply: Reply) -> None:
         reply.send_whole(await self._answer(request))
 
     async def _answer(self, request: HttpRequest) -> HttpResponse:
         try:
             call = self._dialect.read_control_call(request)
         except BadRequestError as error:
-            return self._refuse_bad(request, str(error))
+            return self._refuse_invalid(request, str(error))
         try:
             match call:
                 case Heartbeat(record=record):
-                    fault = self._find_fault(record)
-                    if fault:
-                        return self._refuse_bad(request, fault)
-                    return await self._take_heartbeat(record)
+                    error_text = self._find_record_error(record)
+                    if error_text:
+                        return self._refuse_invalid(request, error_text)
+                    return await self._record_heartbeat(record)
                 case Departure():
-                    return await self._take_departure(call)
+                    return await self._remove_target(call)
                 case Evacuate() | Restore():
-                    return await self._take_evacuation(call)
+                    return await self._commit_evacuation(call)
                 case PutDocument(text=text):
-                    return await self._take_document(text)
+                    return await self._commit_document(text)
                 case ReadDocument():
                     return await self._read_document()
                 case None:
                     return self._refuse(404, f"there is no call {request.method} {request.path}")
         except UnavailableError as error:
-            return self._refuse(503, str(error), retry_after_seconds=RETRY_SECONDS)
+            return self._refuse(503, str(error), retry_after_seconds=RETRY_AFTER_SECONDS)
 
-    def _find_fault(self, record: TargetRecord) -> str:
-        """Return what is wrong with what a target says of itself, or an empty string.
+    def _find_record_error(self, record: TargetRecord) -> str:
+        """Return the error in the record of a heartbeat, or an empty string.
 
-        A service that the document in force doesn't have would never be used, and the target
-        would take the address of another one; a target that is known stays whatever happens
-        to its service, so that it can say that it leaves.
+        A new target must belong to a service of the document in force: no request would reach
+        it otherwise, and it would take the address of another target.  A known target may have
+        lost its service, and is accepted so that it can announce that it is draining.
         """
         document = self._node.state.documents.document
         is_known = self._node.state.targets.find(record.target) is not None
@@ -161,16 +161,16 @@
             return f"there is no service {record.service!r:.80}"
         return find_record_fault(record)
 
-    async def _take_heartbeat(self, record: TargetRecord) -> HttpResponse:
+    async def _record_heartbeat(self, record: TargetRecord) -> HttpResponse:
         known = self._node.state.targets.find(record.target)
         now = self._node.now()
         if known is None or record.start >= known.start:
-            self._heard.note(record.target, now)
-        if known is None or self._says_something_new(record, known):
+            self._heartbeats.record(record.target, now)
+        if known is None or self._is_change(record, known):
             await self._leader.submit(RegisterTarget(record=record))
-            self._cold.note(record, now)
+            self._warmups.note(record, now)
             _LOG.info(
-                "target noted",
+                "target recorded",
                 extra={
                     "target": record.target,
                     "service": record.service,
@@ -181,47 +181,50 @@
                     "cold_seconds": record.cold_seconds,
                 },
             )
-        return self._dialect.render_heartbeat_reply(self._next_address())
+        return self._dialect.render_heartbeat_reply(self._find_leader_http_address())
 
-    def _says_something_new(self, record: TargetRecord, known: TargetRecord) -> bool:
+    def _is_change(self, record: TargetRecord, known: TargetRecord) -> bool:
         if record.start != known.start:
             return record.start > known.start
         if record.sequence <= known.sequence or known.standing == "leaving":
             return False
-        same = (known.standing, known.address, known.service, known.slots)
-        if (record.standing, record.address, record.service, record.slots) != same:
+        unchanged = (known.standing, known.address, known.service, known.slots)
+        if (record.standing, record.address, record.service, record.slots) != unchanged:
             return True
-        return self._cold.is_news(record, known, self._node.now())
+        return self._warmups.is_news(record, known, self._node.now())
 
-    def _next_address(self) -> str:
-        """Return where the leader takes heartbeats, so that it hears of every target."""
+    def _find_leader_http_address(self) -> str:
+        """Return the address at which the leader receives heartbeats, or an empty string.
+
+        Targets are directed there, so that the leader receives the heartbeats of all of them.
+        """
         address = self._leader.address()
         return f"{address.rpartition(':')[0]}:{self._port}" if address else ""
 
-    async def _take_departure(self, departure: Departure) -> HttpResponse:
+    async def _remove_target(self, departure: Departure) -> HttpResponse:
         target = departure.target
         if not self._node.state.targets.is_gone(target):
             await self._leader.submit(RemoveTarget(target=target, start=departure.start))
-            _LOG.info("target gone", extra={"target": target, "start": departure.start})
-        self._heard.forget(target)
+            _LOG.info("target removed", extra={"target": target, "start": departure.start})
+        self._heartbeats.forget(target)
         return HttpResponse(status=200)
 
-    async def _take_evacuation(self, order: Evacuate | Restore) -> HttpResponse:
-        """Commit an order about a data centre; it is acknowledged once a quorum has it on disk."""
-        name = order.data_centre
-        is_restored = isinstance(order, Restore)
-        # What is evacuated may be restored whatever the settings name by now.
-        held = self._node.state.evacuations.list_for_entries().data_centres
-        if self._data_centres and name not in {*self._data_centres, *held}:
+    async def _commit_evacuation(self, change: Evacuate | Restore) -> HttpResponse:
+        """Commit an evacuation or its end; acknowledge it once a quorum has it on disk."""
+        name = change.data_centre
+        is_restored = isinstance(change, Restore)
+        # An evacuated data centre can be restored even if the settings no longer list it.
+        evacuated = self._node.state.evacuations.list_for_entries().data_centres
+        if self._data_centres and name not in {*self._data_centres, *evacuated}:
             _LOG.warning("evacuation refused", extra={"data_centre": name})
             return self._refuse(404, f"there is no data centre {name!r:.80}")
-        reply = await self._leader.submit(_make_order(order))
+        reply = await self._leader.submit(_make_command(change))
         is_changed = isinstance(reply, EvacuationNoted) and reply.is_changed
         fields = {"data_centre": name, "restored": is_restored, "changed": is_changed}
         _LOG.info("evacuation accepted", extra=fields)
         return HttpResponse(status=200)
 
-    async def _take_document(self, text: bytes) -> HttpResponse:
+    async def _commit_document(self, text: bytes) -> HttpResponse:
         try:
             document = self._dialect.read_document(text)
             findings = check_document(document)
@@ -230,89 +233,90 @@
         except SettingsError as error:
             _LOG.warning("document refused", extra={"findings": str(error)})
             return self._refuse(400, str(error))
-        held = self._node.state.documents.document.version
-        if document.version > held:
+        in_force = self._node.state.documents.document.version
+        if document.version > in_force:
             packed = PackedDocument.pack(document.version, text)
             reply = await self._leader.submit(ReplaceDocument(document=packed))
-            held = reply.version if isinstance(reply, DocumentNoted) else held
-        _LOG.info("document accepted", extra={"version": document.version, "in_force": held})
+            in_force = reply.version if isinstance(reply, DocumentNoted) else in_force
+        _LOG.info("document accepted", extra={"version": document.version, "in_force": in_force})
         return HttpResponse(status=200)
 
     async def _read_document(self) -> HttpResponse:
         document = await self._leader.read_document()
         if document.version == 0:
-            return self._refuse(503, "there is no document yet", RETRY_SECONDS)
+            return self._refuse(503, "there is no document yet", RETRY_AFTER_SECONDS)
         headers = ((b"Content-Type", b"application/json"),)
         return HttpResponse(status=200, headers=headers, body=document.unpack())
 
-    # Silent targets.
+    # Heartbeats and silent targets.
 
-    async def _look(self) -> None:
-        """Note silent targets where this replica leads, and tell the leader otherwise."""
+    async def _check_targets(self) -> None:
+        """Commit silent targets if this replica leads, else report heartbeats to the leader."""
         while True:
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
             try:
-                if self._leader.is_here():
-                    await self._silence()
-                    await self._forget_ends()
+                if self._leader.is_local():
+                    await self._mark_silent()
+                    await self._remove_old_exits()
                 else:
-                    await self._tell_leader()
+                    await self._report_heartbeats()
             except UnavailableError as error:
-                _LOG.info("targets heard or silent not noted", extra={"fault": str(error)})
+                _LOG.info("check of targets failed", extra={"fault": str(error)})
 
-    async def _tell_leader(self) -> None:
-        """Tell the leader which targets were heard here since the last look.
+    async def _report_heartbeats(self) -> None:
+        """Report to the leader the targets whose heartbeats arrived here since the last check.
 
-        A target keeps to the replica that answers it, so one that never turns to
-        the leader would count as silent there.
+        A target stays with the replica that answers it, so the leader would otherwise count
+        as silent a target that sends all its heartbeats to another replica.
         """
-        heard = self._heard.follow()
-        if heard:
-            await self._client.tell_heard(heard, TELL_SECONDS)
+        targets = self._heartbeats.take_unreported()
+        if targets:
+            await self._client.tell_heard(targets, REPORT_TIMEOUT_SECONDS)
 
-    async def _take_heard(self, stream: Stream[HeardRequest, HeardReply]) -> None:
-        """Note, at the leader, the targets that another replica heard."""
+    async def _serve_heard(self, stream: Stream[HeardRequest, HeardReply]) -> None:
+        """Record, at the leader, the targets whose heartbeats another replica received."""
         request = await stream.recv_message()
         if request is None:
             return
-        if not self._leader.is_here():
+        if not self._leader.is_local():
             outcome = NotLeader(leader=self._leader.address())
             await stream.send_message(HeardReply(outcome=outcome))
             return
         for target in request.targets:
-            self._heard.note(target, self._node.now())
+            self._heartbeats.record(target, self._node.now())
         await stream.send_message(HeardReply(outcome=Done()))
 
-    async def _silence(self) -> None:
-        """Note, at the leader, the targets that were not heard for long."""
+    async def _mark_silent(self) -> None:
+        """Commit, at the leader, the targets that became silent."""
         now = self._node.now()
-        self._heard.lead(now)
+        self._heartbeats.mark_leader(now)
         names = tuple(
             record.target
             for record in self._node.state.targets.records()
-            if record.standing == "live" and self._heard.is_silent(record.target, now)
+            if record.standing == "live" and self._heartbeats.is_silent(record.target, now)
         )
         if names:
             await self._leader.submit(SilenceTargets(targets=names))
-            _LOG.warning("targets silent", extra={"targets": names})
+            _LOG.warning("targets marked as silent", extra={"targets": names})
 
-    async def _forget_ends(self) -> None:
-        """Forget, at the leader, ends of targets that count no more."""
+    async def _remove_old_exits(self) -> None:
+        """Remove, at the leader, exits of targets that are too old to count."""
         now = time.time()
         if self._node.state.quarantine.is_forgetful_at(now):
             await self._leader.submit(ForgetTargetEnds(before=now - COUNTED_SECONDS))
 
     # Refusals.
 
-    def _refuse_bad(self, request: HttpRequest, fault: str) -> HttpResponse:
-        """Refuse what can't be understood; a writer that goes on gets a line a second."""
-        left_out = self._bad_lines.admit(self._node.now())
-        if left_out is not None:
-            call = f"{request.method} {request.path}"[:MOST_CALL_TEXT]
+    def _refuse_invalid(self, request: HttpRequest, error_text: str) -> HttpResponse:
+        """Refuse an invalid call; at most one a second is logged, with the number left out."""
+        omitted = self._invalid_call_log.admit(self._node.now())
+        if omitted is not None:
+            call = f"{request.method} {request.path}"[:MAX_LOGGED_CALL_LENGTH]
             _LOG.warning(
-                "call not understood", extra={"call": call, "fault": fault, "left_out": left_out}
+                "invalid call refused",
+                extra={"call": call, "fault": error_text, "left_out": omitted},
             )
-        return self._refuse(400, fault)
+        return self._refuse(400, error_text)
 
     def _refuse(
         self, status: int, detail: str, retry_after_seconds: float | None = None
@@ -320,15 +324,15 @@
         refusal = Refusal(status=status, detail=detail, retry_after_seconds=retry_after_seconds)
         return self._dialect.render_refusal(refusal, "")
 
-    def _render_bad_bytes(self, status: int, detail: str) -> HttpResponse:
+    def _render_refusal(self, status: int, detail: str) -> HttpResponse:
         return self._refuse(status, detail)
 
 
-def _make_order(order: Evacuate | Restore) -> Command:
-    """Return the command for an operator's order."""
-    kind = EvacuateDataCentre if isinstance(order, Evacuate) else RestoreDataCentre
+def _make_command(change: Evacuate | Restore) -> Command:
+    """Return the command for a call of an operator."""
+    kind = EvacuateDataCentre if isinstance(change, Evacuate) else RestoreDataCentre
     return kind(
-        data_centre=order.data_centre,
+        data_centre=change.data_centre,
         call=secrets.token_hex(6),
         operator=REGISTRY,
         at=round(time.time(), 3),
--- a/packages/damsonlaned/src/damsonlaned/control/_service.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_service.py
@@ -1,4 +1,4 @@
-"""The calls that a control box serves."""
+"""Calls that a control box serves to operators, boxes and other replicas."""
 
 import asyncio
 import contextlib
@@ -70,25 +70,29 @@
 
 _LOG: Final = logging.getLogger(__name__)
 
-#: Who is written into the history while there are no operators.
+#: Operator that is recorded in the history while none are configured.
 ANYONE: Final = "anyone"
-#: Who is written into orders that came to the address of control for targets and operators.
-#: Any replica takes them, and passes them on to the leader.
+#: Operator that is recorded for calls to the HTTP interface of the registry.  Any replica
+#: accepts these and forwards them to the leader.
 REGISTRY: Final = "registry"
-#: Entries that a box is told of.
-PEERS_TOLD: Final = 4
-#: The group of a box that belongs to none.
+#: Number of entries whose addresses a box receives as its peers.
+SAMPLED_PEERS: Final = 4
+#: Members reported by a box that belongs to no group.
 _EMPTY_MEMBERS: Final = Members(voters=())
 
 
 class ControlService:
-    """Serves operators and entries from a control node."""
+    """Serves operators, entries and other replicas from a control node."""
 
     def __init__(self, node: ControlNode) -> None:
         self._node: Final = node
 
     def service(self, more: Mapping[str, Handler]) -> Service:
-        """Return these calls and more in the form grpclib expects."""
+        """Return the grpclib service with these calls and additional handlers.
+
+        Args:
+            more: additional handlers by path.
+        """
         return Service(
             {
                 **more,
@@ -110,18 +114,18 @@
             await stream.send_message(await self._submit(stream, request))
 
     async def query(self, stream: Stream[QueryRequest, QueryReply]) -> None:
-        """Answer a read with current state."""
+        """Answer a query from the state that a quorum confirms as current."""
         request = await stream.recv_message()
         if request is not None:
             await stream.send_message(await self._query(stream, request))
 
     async def status(self, stream: Stream[StatusRequest, StatusReply]) -> None:
-        """Say how this box is."""
+        """Report the status of this box."""
         if await stream.recv_message() is not None:
             await stream.send_message(self._status())
 
     async def found(self, stream: Stream[FoundRequest, GroupReply]) -> None:
-        """Found a group."""
+        """Found a control group with this box as its only member."""
         if await stream.recv_message() is None:
             return
         try:
@@ -132,58 +136,58 @@
         await stream.send_message(reply)
 
     async def add(self, stream: Stream[AddRequest, GroupReply]) -> None:
-        """Admit a replica."""
+        """Add a replica to the group."""
         request = await stream.recv_message()
         if request is not None:
             await stream.send_message(self._change_group(stream, request))
 
     async def remove(self, stream: Stream[RemoveRequest, GroupReply]) -> None:
-        """Remove a replica."""
+        """Remove a replica from the group."""
         request = await stream.recv_message()
         if request is not None:
             await stream.send_message(self._change_group(stream, request))
 
     async def exchange(self, stream: Stream[Envelope, ExchangeEnd]) -> None:
-        """Take envelopes from another replica."""
+        """Receive envelopes from another replica."""
         async for envelope in stream:
             self._node.receive(envelope)
         await stream.send_message(ExchangeEnd())
 
     async def watch(self, stream: Stream[WatchReport, WatchUpdate]) -> None:
-        """Push settings to a box as they change, and note what it has in force."""
+        """Push changes to a box, and record the version of the settings in force there."""
         report = await stream.recv_message()
         if report is None:
             return
-        self._node.watchers.note(report, self._node.now())
+        self._node.watchers.record(report, self._node.now())
         sender = asyncio.create_task(self._push(stream, report.version))
         try:
             async for report in stream:
-                self._node.watchers.note(report, self._node.now())
-                await stream.send_message(self._heartbeat(report.version))
+                self._node.watchers.record(report, self._node.now())
+                await stream.send_message(self._make_heartbeat(report.version))
         finally:
             sender.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await sender
 
     async def _push(self, stream: Stream[WatchReport, WatchUpdate], version: int) -> None:
-        live = 0
+        live_count = 0
         revisions = (-1, -1)
         while True:
             state = self._node.state
-            held = state.quarantine.list_for_entries()
+            quarantine = state.quarantine.list_for_entries()
             limits = state.rate_limits.list_all()
-            is_same = state.settings.version <= version and state.membership.live() == live
-            if not is_same or (held.revision, limits.revision) != revisions:
-                live = state.membership.live()
-                revisions = (held.revision, limits.revision)
-                update = make_update(self._node, version)
-                update = replace(update, quarantine=held, rate_limits=limits)
+            is_same = state.settings.version <= version and state.membership.live() == live_count
+            if not is_same or (quarantine.revision, limits.revision) != revisions:
+                live_count = state.membership.live()
+                revisions = (quarantine.revision, limits.revision)
+                update = _make_update(self._node, version)
+                update = replace(update, quarantine=quarantine, rate_limits=limits)
                 version = update.version
                 await stream.send_message(update)
             else:
                 await self._node.watchers.wait()
 
-    def _heartbeat(self, version: int) -> WatchUpdate:
+    def _make_heartbeat(self, version: int) -> WatchUpdate:
         return WatchUpdate(
             version=version,
             is_current=self._node.is_current(),
@@ -195,9 +199,9 @@
         self, stream: Stream[SubmitRequest, SubmitReply], request: SubmitRequest
     ) -> SubmitReply:
         operator = self._authenticate(stream)
-        commands = tuple(_sign(command, operator) for command in request.commands)
-        changes = any(map(_needs_editor, request.commands))
-        if changes and not self._may_change(operator):
+        commands = tuple(_stamp(command, operator) for command in request.commands)
+        needs_editor = any(map(_needs_editor, request.commands))
+        if needs_editor and not self._may_change(operator):
             return SubmitReply(outcome=Forbidden(detail="an editor's token is needed"))
         try:
             return SubmitReply(outcome=Submitted(replies=await self._node.submit(commands)))
@@ -215,8 +219,8 @@
             return QueryReply(outcome=NotLeader(leader=error.leader))
         except UnavailableError:
             return QueryReply(outcome=Unconfirmed())
-        is_settings = isinstance(request.query, SettingsQuery | DocumentQuery)
-        if self._operators() and not self._authenticate(stream) and not is_settings:
+        is_public = isinstance(request.query, SettingsQuery | DocumentQuery)
+        if self._operators() and not self._authenticate(stream) and not is_public:
             return QueryReply(outcome=Forbidden(detail="an operator's token is needed"))
         return self._answer(request)
 
@@ -297,7 +301,7 @@
         | Stream[AddRequest, GroupReply]
         | Stream[RemoveRequest, GroupReply],
     ) -> str:
-        """Return the operator's name, or an empty string."""
+        """Return the name of the operator with the token of the call, or an empty string."""
         metadata = stream.metadata
         token = metadata.get(TOKEN_FIELD, "") if metadata is not None else ""
         digest = hashlib.sha256(str(token).encode()).hexdigest()
@@ -313,8 +317,8 @@
         return operator in operators and operators[operator].role == "editor"
 
 
-def make_update(node: ControlNode, version: int) -> WatchUpdate:
-    """Return what takes a box from a version to the current one."""
+def _make_update(node: ControlNode, version: int) -> WatchUpdate:
+    """Return the update from a version of the settings to the current one."""
     settings = node.state.settings
     changes = settings.changes_after(version) if version else None
     document = settings.document if changes is None else None
@@ -329,27 +333,28 @@
 
 
 def _sample_peers(node: ControlNode) -> tuple[str, ...]:
-    """Return some entries' addresses, enough to pass settings on without knowing all."""
+    """Return the addresses of some random entries, to which a box can forward settings."""
     addresses = [record.address for record in node.state.membership.records()]
-    return tuple(random.sample(addresses, min(PEERS_TOLD, len(addresses))))
+    return tuple(random.sample(addresses, min(SAMPLED_PEERS, len(addresses))))
 
 
 def _needs_editor(command: Command) -> bool:
-    """Tell whether a command comes from an operator and changes what all boxes do."""
+    """Return whether a command comes from an operator and needs an editor's token."""
     if isinstance(command, EvacuateDataCentre | RestoreDataCentre):
         return command.operator != REGISTRY
     return isinstance(command, ChangeSettings | ReleaseRequest)
 
 
-def _sign(command: Command, operator: str) -> Command:
-    """Write the authenticated operator and the time into an operator's command.
+def _stamp(command: Command, operator: str) -> Command:
+    """Return a command with the authenticated operator and the time, if it records them.
 
-    Ends of targets are dated here too, since entries' clocks differ by more than replicas'.
+    Exits of targets are timestamped here too, since the clocks of entries differ by more than
+    those of replicas.
     """
     if isinstance(command, NoteTargetEnd):
         fingerprints = [run.fingerprint for run in command.runs]
         fields = {"target": command.target, "start": command.start}
-        _LOG.info("end of target told", extra={**fields, "fingerprints": fingerprints})
+        _LOG.info("target exit reported", extra={**fields, "fingerprints": fingerprints})
         return replace(command, at=round(time.time(), 3))
     if not _needs_editor(command):
         return command
--- a/packages/damsonlaned/src/damsonlaned/control/_watchers.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_watchers.py
@@ -1,4 +1,4 @@
-"""Boxes that watch this replica for settings."""
+"""Boxes that watch this replica for changes of settings."""
 
 import asyncio
 from dataclasses import dataclass
@@ -6,62 +6,62 @@
 
 from damsonlane_rpc import BoxStatus, WatchReport
 
-#: Seconds after which a silent box is left out of reports.
-FORGET_SECONDS: Final = 60.0
+#: Largest age of a report, in seconds, with which a box is listed in the status.
+STATUS_MAX_AGE_SECONDS: Final = 60.0
 
 
 @dataclass(frozen=True, kw_only=True)
-class Sighting:
-    """A report of a box."""
+class ReceivedReport:
+    """The latest report of a box."""
 
-    #: What it said.
+    #: The report.
     report: WatchReport
-    #: When, by the monotonic clock; in copies handed out, how many seconds ago.
+    #: When it arrived, by the monotonic clock; from `Watchers.list_reports`, its age in seconds.
     at: float
 
 
 class Watchers:
-    """The latest report of each box, and the signal that wakes their streams."""
+    """The latest report of each watching box, and the event that wakes their streams."""
 
     def __init__(self) -> None:
-        self._sightings: dict[str, Sighting] = {}
+        self._reports: dict[str, ReceivedReport] = {}
         self._changed = asyncio.Event()
 
-    def note(self, report: WatchReport, now: float) -> None:
-        """Note a box's report."""
-        self._sightings[report.box] = Sighting(report=report, at=now)
+    def record(self, report: WatchReport, now: float) -> None:
+        """Record a report of a box."""
+        self._reports[report.box] = ReceivedReport(report=report, at=now)
 
-    def sightings(self, now: float) -> tuple[Sighting, ...]:
-        """Return the latest report of each box with its age."""
+    def list_reports(self, now: float) -> tuple[ReceivedReport, ...]:
+        """Return the latest report of each box, with its age instead of its time."""
         return tuple(
-            Sighting(report=sighting.report, at=now - sighting.at)
-            for sighting in self._sightings.values()
+            ReceivedReport(report=received.report, at=now - received.at)
+            for received in self._reports.values()
         )
 
     def forget(self, box: str) -> None:
-        """Forget a box that fell silent."""
-        self._sightings.pop(box, None)
+        """Forget a box that stopped reporting."""
+        self._reports.pop(box, None)
 
     def statuses(self, now: float) -> tuple[BoxStatus, ...]:
-        """Return what is known of boxes that were heard lately."""
-        known = sorted(self._sightings.items())
+        """Return the status of each box with a recent report, sorted by name."""
+        known = sorted(self._reports.items())
         return tuple(
             BoxStatus(
                 box=box,
-                incarnation=sighting.report.incarnation,
-                data_centre=sighting.report.data_centre,
-                version=sighting.report.version,
-                silent_seconds=round(now - sighting.at, 3),
+                incarnation=received.report.incarnation,
+                data_centre=received.report.data_centre,
+                version=received.report.version,
+                silent_seconds=round(now - received.at, 3),
             )
-            for box, sighting in known
-            if now - sighting.at < FORGET_SECONDS
+            for box, received in known
+            if now - received.at < STATUS_MAX_AGE_SECONDS
         )
 
-    def announce(self) -> None:
-        """Wake every stream: there are newer settings."""
+    def notify_all(self) -> None:
+        """Wake all streams after a change of the state."""
         self._changed.set()
         self._changed = asyncio.Event()
 
     async def wait(self) -> None:
-        """Wait for the next announcement."""
+        """Wait for the next change of the state."""
         await self._changed.wait()
--- a/packages/damsonlaned/src/damsonlaned/control/tests/boxes.py
+++ b/packages/damsonlaned/src/damsonlaned/control/tests/boxes.py
@@ -1,4 +1,4 @@
-"""Real control boxes in one process, on loopback ports, for tests of their group."""
+"""Control boxes on loopback ports in one process, for tests of the control group."""
 
 import asyncio
 import tempfile
@@ -11,19 +11,19 @@
 
 from damsonlane.settings import BoxSettings, Founding
 from damsonlane_rpc import ControlClient, DataclassCodec, Endpoint, Service
-from damsonlaned.control import ControlNode, ControlService, FollowingService, GroupRepairer
+from damsonlaned.control import ControlNode, ControlService, FollowService, GroupManager
 from damsonlaned.control._rate_limits import RateLimitService
 from damsonlaned.storage import DataFolder
 from damsonlaned.tests.addresses import find_addresses
 
-#: Seconds after which a test gives up.
-PATIENCE = 20.0
-#: Short, so that a test is quick; long enough for a busy machine.
+#: Seconds after which a condition that a test waits for counts as failed.
+TEST_TIMEOUT_SECONDS = 20.0
+#: Short, so that tests are quick; long enough for a busy machine.
 ELECTION_SECONDS = 0.4
 
 
-class BreakableServer(Server):
-    """A server whose connections break when it stops, as those of a process that ends."""
+class AbortingServer(Server):
+    """A server that aborts its connections when it stops, like a process that exits."""
 
     def __init__(self, service: Service) -> None:
         super().__init__([service], codec=DataclassCodec())
@@ -43,7 +43,7 @@
 
 
 class Box:
-    """One control box, which may be stopped, wiped and started again."""
+    """One control box, which can be stopped, erased and restarted."""
 
     def __init__(self, address: str, seeds: tuple[str, ...], folder: Path) -> None:
         self.address = address
@@ -67,14 +67,14 @@
         self.data.open()
         self.node = ControlNode(settings, self.data, None)
         self.client = ControlClient(self.seeds)
-        self.group = GroupRepairer(self.node, founding, self.client, None)
+        self.group = GroupManager(self.node, founding, self.client, None)
         self.limits = RateLimitService(self.node)
         handlers = {
             **self.group.handlers(),
-            **FollowingService(self.node).handlers(),
+            **FollowService(self.node).handlers(),
             **self.limits.handlers(),
         }
-        self.server = BreakableServer(ControlService(self.node).service(handlers))
+        self.server = AbortingServer(ControlService(self.node).service(handlers))
         endpoint = Endpoint.parse(self.address)
         await self.server.start(endpoint.host, endpoint.port)
         self.node.start()
@@ -89,7 +89,7 @@
         self.client.close()
         self.data.close()
 
-    def wipe(self) -> None:
+    def erase(self) -> None:
         for path in self.folder.iterdir():
             path.unlink()
 
@@ -97,7 +97,7 @@
         replica = self.node.replica
         return sorted(member.address for member in replica.members.voters) if replica else []
 
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         replica = self.node.replica
         return replica is not None and replica.is_leader
 
@@ -131,19 +131,19 @@
             self.running.remove(box)
             await box.stop()
 
-    async def wait(self, holds: Callable[[], bool], what: str) -> None:
+    async def wait(self, is_true: Callable[[], bool], failure: str) -> None:
         try:
-            async with asyncio.timeout(PATIENCE):
-                while not holds():
+            async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
+                while not is_true():
                     await asyncio.sleep(0.05)
         except TimeoutError:
-            self.fail(f"{what}; voters: {[box.voters() for box in self.running]}")
+            self.fail(f"{failure}; voters: {[box.voters() for box in self.running]}")
 
     async def wait_for_voters(self, *numbers: int) -> None:
         wanted = sorted(self.addresses[number] for number in numbers)
 
-        def holds() -> bool:
-            agrees = all(box.voters() == wanted for box in self.running)
-            return agrees and sum(box.leads() for box in self.running) == 1
+        def is_true() -> bool:
+            is_agreed = all(box.voters() == wanted for box in self.running)
+            return is_agreed and sum(box.is_leader() for box in self.running) == 1
 
-        await self.wait(holds, f"the group never became {wanted}")
+        await self.wait(is_true, f"the voters never became {wanted}")
--- a/packages/damsonlaned/src/damsonlaned/control/tests/test_group.py
+++ b/packages/damsonlaned/src/damsonlaned/control/tests/test_group.py
@@ -1,4 +1,4 @@
-"""Founding and repair of the control group, with real replicas on loopback ports."""
+"""Founding and repair of the control group, with replicas on loopback ports."""
 
 import asyncio
 import unittest
@@ -14,15 +14,17 @@
     NotLeader,
 )
 from damsonlaned.control import ControlNode
-from damsonlaned.control._leader import Leader
-from damsonlaned.control.tests.boxes import PATIENCE, GroupCase
+from damsonlaned.control._leader_client import LeaderClient
+from damsonlaned.control.tests.boxes import TEST_TIMEOUT_SECONDS, GroupCase
 
 
 class GroupTest(GroupCase):
     async def put(self, version: int) -> None:
         document = PackedDocument.pack(version, b"text")
-        async with asyncio.timeout(PATIENCE):
-            await self.running[0].client.submit([ReplaceDocument(document=document)], PATIENCE)
+        async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
+            await self.running[0].client.submit(
+                [ReplaceDocument(document=document)], TEST_TIMEOUT_SECONDS
+            )
 
     async def test_the_seeds_found_one_group_and_the_others_join(self) -> None:
         await self.start(4, 2, 0, 3, 1, is_first_start=True)
@@ -30,18 +32,18 @@
         clusters = {box.node.identity.cluster for box in self.running}
         self.assertEqual(len(clusters), 1)
 
-    async def test_nothing_is_accepted_before_the_group_bears_a_loss(self) -> None:
+    async def test_commands_are_refused_until_the_group_has_its_full_size(self) -> None:
         await self.start(0, is_first_start=True)
-        await self.wait(lambda: self.running[0].leads(), "nobody leads")
-        self.assertFalse(self.running[0].group.takes_orders())
+        await self.wait(lambda: self.running[0].is_leader(), "no box leads")
+        self.assertFalse(self.running[0].group.accepts_commands())
         await self.start(1, 2, 3, 4, is_first_start=True)
         await self.wait_for_voters(0, 1, 2, 3, 4)
-        self.assertTrue(all(box.group.takes_orders() for box in self.running))
+        self.assertTrue(all(box.group.accepts_commands() for box in self.running))
 
-    async def test_only_a_confirmed_leader_says_that_a_replica_was_removed(self) -> None:
+    async def test_only_a_confirmed_leader_answers_that_a_replica_was_removed(self) -> None:
         await self.start(0, is_first_start=True)
         box = self.running[0]
-        await self.wait(box.leads, "nobody leads")
+        await self.wait(box.is_leader, "no box leads")
         applicant = Applicant(replica="removed", address="127.0.0.1:1", cluster="known")
         unconfirmed = mock.patch.object(box.node, "confirm", side_effect=UnavailableError("no"))
         undone = mock.patch.object(Replica, "is_members_committed", return_value=False)
@@ -52,14 +54,14 @@
         )
         for name, patch, expected in cases:
             with self.subTest(name), patch:
-                async with asyncio.timeout(PATIENCE):
-                    self.assertIsInstance(await box.group._admit(applicant), expected)
+                async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
+                    self.assertIsInstance(await box.group._answer_join(applicant), expected)
 
-    async def test_an_admission_that_is_sent_again_is_accepted_again(self) -> None:
-        """The client sends it again when its answer is late, and the operator asked once."""
+    async def test_a_retried_admission_is_accepted(self) -> None:
+        """Guards against an error for an operator whose client retried a call with a late reply."""
         await self.start(0, is_first_start=True)
         box = self.running[0]
-        await self.wait(box.leads, "nobody leads")
+        await self.wait(box.is_leader, "no box leads")
         for _ in range(2):
             box.node.add("another", "127.0.0.1:1")
         with self.assertRaises(AgreementError):
@@ -72,14 +74,14 @@
             found.assert_not_called()
         self.assertIsNone(self.running[0].node.replica)
 
-    async def test_two_wiped_boxes_come_back_as_new_replicas(self) -> None:
+    async def test_two_erased_boxes_rejoin_as_new_replicas(self) -> None:
         await self.start(0, 1, 2, 3, 4, is_first_start=True)
         await self.wait_for_voters(0, 1, 2, 3, 4)
         await self.put(7)
         old = {self.boxes[self.addresses[number]].node.identity.replica for number in (0, 1)}
         await self.stop(0, 1)
         for number in (0, 1):
-            self.boxes[self.addresses[number]].wipe()
+            self.boxes[self.addresses[number]].erase()
         await self.start(0, 1)
         await self.wait_for_voters(0, 1, 2, 3, 4)
         replica = self.running[0].node.replica
@@ -90,17 +92,17 @@
             "the document is not everywhere",
         )
 
-    async def test_a_box_gone_for_good_is_replaced_by_one_at_another_address(self) -> None:
+    async def test_a_lost_box_is_replaced_by_one_at_another_address(self) -> None:
         await self.start(0, 1, 2, 3, 4, is_first_start=True)
         await self.wait_for_voters(0, 1, 2, 3, 4)
         await self.stop(0)
         await self.start(5)
         await self.wait_for_voters(1, 2, 3, 4, 5)
-        # The old box comes back with its old disk: it is no member and must start anew.
+        # The old box restarts with its old disk: it was removed and must rejoin as a new replica.
         await self.start(0)
         await self.wait_for_voters(0, 1, 2, 3, 4, 5)
 
-    async def test_all_boxes_stopped_at_once_come_back_with_what_was_accepted(self) -> None:
+    async def test_accepted_changes_survive_a_stop_of_all_boxes(self) -> None:
         await self.start(0, 1, 2, 3, 4, is_first_start=True)
         await self.wait_for_voters(0, 1, 2, 3, 4)
         await self.put(7)
@@ -113,45 +115,47 @@
             "the document is not everywhere",
         )
 
-    async def test_an_evacuation_sent_to_any_box_survives_wipes_and_the_loss_of_all(self) -> None:
+    async def test_an_evacuation_sent_to_a_follower_survives_erased_and_stopped_boxes(
+        self,
+    ) -> None:
         await self.start(0, 1, 2, 3, 4, is_first_start=True)
         await self.wait_for_voters(0, 1, 2, 3, 4)
-        follower = next(box for box in self.running if not box.leads())
-        leader = Leader(follower.node, follower.group, follower.client)
+        follower = next(box for box in self.running if not box.is_leader())
+        leader = LeaderClient(follower.node, follower.group, follower.client)
         command = EvacuateDataCentre(data_centre="dha", call="c", operator="registry", at=1.0)
         reply = await leader.submit(command)
         self.assertEqual(reply, EvacuationNoted(is_changed=True))
         await self.stop(0, 1)
         for number in (0, 1):
-            self.boxes[self.addresses[number]].wipe()
+            self.boxes[self.addresses[number]].erase()
         await self.start(0, 1)
         await self.wait_for_voters(0, 1, 2, 3, 4)
         await self.stop(0, 1, 2, 3, 4)
         await self.start(0, 1, 2, 3, 4)
 
-        def holds() -> bool:
+        def is_true() -> bool:
             return all(
                 box.node.state.evacuations.list_for_entries().data_centres == ("dha",)
                 for box in self.running
             )
 
-        await self.wait(holds, "all boxes hold the evacuation")
+        await self.wait(is_true, "not all boxes hold the evacuation")
 
-    async def test_followers_know_how_fresh_they_are(self) -> None:
+    async def test_the_state_age_grows_without_a_quorum(self) -> None:
         await self.start(0, 1, 2, 3, 4, is_first_start=True)
         await self.wait_for_voters(0, 1, 2, 3, 4)
         await self.wait(
             lambda: all((box.node.state_age() or 9.0) < 1.0 for box in self.running),
-            "a follower is not fresh",
+            "the state of a follower is not current",
         )
-        # Two of five are no quorum: neither the leader among them nor a follower stays fresh.
+        # Two of five are no quorum: the state of neither remains current, leader or follower.
         await self.stop(2, 3, 4)
 
-        def holds() -> bool:
+        def is_true() -> bool:
             ages = [box.node.state_age() for box in self.running]
             return all(age is None or age > 1.0 for age in ages)
 
-        await self.wait(holds, "a box without a quorum calls itself fresh")
+        await self.wait(is_true, "a box without a quorum reports a current state")
 
 
 if __name__ == "__main__":
--- a/packages/damsonlaned/src/damsonlaned/control/tests/test_node.py
+++ b/packages/damsonlaned/src/damsonlaned/control/tests/test_node.py
@@ -1,4 +1,4 @@
-"""The control node when its disk fails."""
+"""The control node after a failed write to its disk."""
 
 import asyncio
 import tempfile
@@ -14,11 +14,11 @@
 
 
 class FailingDiskTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_replica_whose_disk_failed_acknowledges_nothing(self) -> None:
+    async def test_no_acknowledgement_after_a_failed_append(self) -> None:
         with tempfile.TemporaryDirectory() as path:
             folder = DataFolder(path)
             folder.open()
-            node = ControlNode(_settings(path), folder, None)
+            node = ControlNode(_make_settings(path), folder, None)
             node.start()
             sent: list[Envelope] = []
             request = AppendRequest(
@@ -34,11 +34,11 @@
             )
             with (
                 mock.patch.object(Journal, "append", side_effect=StorageError("full")),
-                mock.patch.object(node._links, "send", side_effect=sent.append),
+                mock.patch.object(node._peers, "send", side_effect=sent.append),
             ):
                 with self.assertRaises(StorageError):
                     node.receive(envelope)
-                # The leader sends again; the entry is in memory and on no disk.
+                # The leader sends again; the entry is in memory but not on the disk.
                 with self.assertRaises(NotLeaderError):
                     node.receive(envelope)
                 await asyncio.sleep(0)
@@ -47,25 +47,25 @@
             await node.stop()
             folder.close()
 
-    async def test_a_replica_whose_snapshot_cannot_be_written_falls_silent(self) -> None:
+    async def test_the_replica_stops_after_a_failed_snapshot(self) -> None:
         with tempfile.TemporaryDirectory() as path:
             folder = DataFolder(path)
             folder.open()
-            node = ControlNode(_settings(path), folder, None)
+            node = ControlNode(_make_settings(path), folder, None)
             node.found()
             node._since_snapshot = ENTRIES_PER_SNAPSHOT
             with (
                 mock.patch.object(Journal, "rewrite", side_effect=StorageError("full")),
                 self.assertRaises(StorageError),
             ):
-                node._carry_out(Output())
+                node._process_output(Output())
             self.assertIsNone(node.replica)
             self.assertIsInstance(node.failure.exception(), StorageError)
             await node.stop()
             folder.close()
 
 
-def _settings(path: str) -> BoxSettings:
+def _make_settings(path: str) -> BoxSettings:
     return BoxSettings(
         name="box",
         data_centre="fukuoka-a",
--- a/packages/damsonlaned/src/damsonlaned/control/tests/test_registry.py
+++ b/packages/damsonlaned/src/damsonlaned/control/tests/test_registry.py
@@ -1,4 +1,4 @@
-"""The address of control for targets and operators, over HTTP, with one replica."""
+"""The HTTP interface of control for targets and operators, with one replica."""
 
 import asyncio
 import json
@@ -25,13 +25,14 @@
     Service,
     open_channel,
 )
-from damsonlaned.control import ControlNode, GroupRepairer, Registry
+from damsonlaned.control import ControlNode, GroupManager, Registry
 from damsonlaned.dialects import NativeDialect
 from damsonlaned.http import ConnectionPool, HttpRequest
 from damsonlaned.storage import DataFolder
 from damsonlaned.tests.addresses import find_address
 
-PATIENCE = 20.0
+#: Seconds after which a call or a condition that a test waits for counts as failed.
+TEST_TIMEOUT_SECONDS = 20.0
 RECORD = TargetRecord(
     target="t1",
     service="desk",
@@ -44,24 +45,24 @@
 DESK = {"name": "desk", "most_connections": 20}
 
 
-class OpenGroup:
-    """Stands in for what looks after a group that has its full size, or has not."""
+class FakeGroup:
+    """A fake of `GroupManager`, for a group that has its full size or not."""
 
     def __init__(self) -> None:
-        self.is_whole = True
+        self.has_full_size = True
 
-    def takes_orders(self) -> bool:
-        return self.is_whole
+    def accepts_commands(self) -> bool:
+        return self.has_full_size
 
 
-class HeardNames:
-    """Stands in for the client that reaches the leader."""
+class FakeControlClient:
+    """A fake of `ControlClient` that records the reported targets."""
 
     def __init__(self) -> None:
-        self.told: list[tuple[str, ...]] = []
+        self.reported: list[tuple[str, ...]] = []
 
     async def tell_heard(self, targets: Sequence[str], _seconds: float) -> None:
-        self.told.append(tuple(targets))
+        self.reported.append(tuple(targets))
 
 
 def make_text(version: int, **fields: object) -> bytes:
@@ -89,12 +90,12 @@
         self.node.found()
         self.node.start()
         self.addAsyncCleanup(self.node.stop)
-        self.group = OpenGroup()
+        self.group = FakeGroup()
         client = ControlClient(("127.0.0.1:1",))
         self.addCleanup(client.close)
         self.registry = Registry(
             self.node,
-            cast(GroupRepairer, self.group),
+            cast(GroupManager, self.group),
             client,
             NativeDialect(),
             "127.0.0.1:0",
@@ -104,30 +105,30 @@
         self.addAsyncCleanup(self.registry.stop)
         self.pool = ConnectionPool(f"127.0.0.1:{self.registry._listener.port()}", 4)
         self.addCleanup(self.pool.close)
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
             while self.node.replica is None or not self.node.replica.is_leader:
                 await asyncio.sleep(0.02)
 
     async def call(self, method: str, path: str, body: bytes = b"") -> tuple[int, bytes]:
         request = HttpRequest(method=method, target=path, headers=((b"Host", b"h"),), body=body)
-        async with asyncio.timeout(PATIENCE):
-            exchange = await self.pool.send(request, PATIENCE)
+        async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
+            exchange = await self.pool.send(request, TEST_TIMEOUT_SECONDS)
             try:
                 head = await exchange.read_head()
                 return head.status, await exchange.body.read_whole()
             finally:
                 exchange.finish()
 
-    def stop_looking(self) -> None:
-        looking = self.registry._looking
-        assert looking is not None
-        looking.cancel()
+    def stop_checks(self) -> None:
+        task = self.registry._check_task
+        assert task is not None
+        task.cancel()
 
-    def be_silent_for_a_minute(self, target: str) -> None:
-        """Have a target heard last a minute ago, by a leader that led already then."""
+    def backdate_heartbeat(self, target: str) -> None:
+        """Set the last heartbeat of a target to a minute ago, at a leader of as long a time."""
         ago = self.node.now() - 60
-        self.registry._heard.note(target, ago)
-        self.registry._heard._led_since = ago
+        self.registry._heartbeats.record(target, ago)
+        self.registry._heartbeats._leader_since = ago
 
     def depose(self) -> None:
         replica = self.node.replica
@@ -147,14 +148,14 @@
         self.addCleanup(channel.close)
         return channel
 
-    async def beat(self, **changes: object) -> int:
+    async def send_heartbeat(self, **changes: object) -> int:
         record = TargetRecord(**{**vars(RECORD), **changes})
         status, _ = await self.call(
             "PUT", f"/v1/targets/{record.target}", encode_bytes(record, TargetRecord)
         )
         return status
 
-    async def test_the_highest_version_holds_and_is_read_back_as_sent(self) -> None:
+    async def test_the_highest_version_is_in_force_and_read_back_unchanged(self) -> None:
         text = b'{ "version": 7,\n "routes": [] }'
         cases = ((text, 200), (make_text(6), 200), (make_text(7, routes=[]), 200), (text, 200))
         self.assertEqual((await self.call("GET", "/v1/routes"))[0], 503)
@@ -170,35 +171,35 @@
             self.assertEqual(json.loads(body)["status"], 400)
         self.assertEqual(self.node.state.documents.document.version, 0)
 
-    async def test_targets_come_drain_and_go(self) -> None:
-        self.assertEqual(await self.beat(), 200)
-        self.assertEqual(await self.beat(sequence=2), 200)
-        self.assertEqual(await self.beat(sequence=5, standing="leaving"), 200)
+    async def test_targets_register_drain_and_leave(self) -> None:
+        self.assertEqual(await self.send_heartbeat(), 200)
+        self.assertEqual(await self.send_heartbeat(sequence=2), 200)
+        self.assertEqual(await self.send_heartbeat(sequence=5, standing="leaving"), 200)
         # A late heartbeat is acknowledged and changes nothing.
-        self.assertEqual(await self.beat(sequence=3), 200)
+        self.assertEqual(await self.send_heartbeat(sequence=3), 200)
         record = self.node.state.targets.find("t1")
         self.assertEqual(record.standing if record else "", "leaving")
         for _ in range(2):
             self.assertEqual((await self.call("DELETE", "/v1/targets/t1"))[0], 200)
         self.assertIsNone(self.node.state.targets.find("t1"))
-        self.assertEqual(await self.beat(sequence=9), 200)
+        self.assertEqual(await self.send_heartbeat(sequence=9), 200)
         self.assertIsNone(self.node.state.targets.find("t1"))
 
-    async def test_a_target_that_starts_again_under_its_name_is_news(self) -> None:
-        await self.beat(start=100, sequence=40, standing="leaving")
-        self.assertEqual(await self.beat(start=200, sequence=1), 200)
+    async def test_a_new_incarnation_of_a_target_replaces_the_old_one(self) -> None:
+        await self.send_heartbeat(start=100, sequence=40, standing="leaving")
+        self.assertEqual(await self.send_heartbeat(start=200, sequence=1), 200)
         record = self.node.state.targets.find("t1")
         assert record is not None
         self.assertEqual((record.start, record.standing), (200, "live"))
-        self.assertEqual(await self.beat(start=100, sequence=99, standing="leaving"), 200)
+        self.assertEqual(await self.send_heartbeat(start=100, sequence=99, standing="leaving"), 200)
         self.assertEqual(self.node.state.targets.find("t1"), record)
 
-    async def test_coldness_is_noted_when_it_begins_and_ends(self) -> None:
-        await self.beat()
+    async def test_the_begin_and_end_of_a_warm_up_are_committed(self) -> None:
+        await self.send_heartbeat()
         last = self.node.replica.last_index if self.node.replica else 0
         seconds: list[float] = []
         for sequence, cold in enumerate((3.0, 2.9, 2.8, 0.0, 0.0), start=2):
-            await self.beat(sequence=sequence, cold_seconds=cold)
+            await self.send_heartbeat(sequence=sequence, cold_seconds=cold)
             record = self.node.state.targets.find("t1")
             seconds.append(record.cold_seconds if record else -1.0)
         self.assertEqual(seconds, [3.0, 3.0, 3.0, 0.0, 0.0])
@@ -218,12 +219,12 @@
             self.assertEqual(names, held)
         self.assertEqual((await self.call("GET", path))[0], 404)
 
-    async def test_a_data_centre_that_is_not_there_is_not_evacuated(self) -> None:
+    async def test_an_unknown_data_centre_is_not_evacuated(self) -> None:
         self.registry._data_centres = frozenset({"gulberg", "dha"})  # type: ignore[misc]
         for method in ("POST", "DELETE"):
             self.assertEqual((await self.call(method, "/v1/evacuations/johar"))[0], 404)
         self.assertEqual((await self.call("POST", "/v1/evacuations/dha"))[0], 200)
-        # One that is evacuated is restored, whatever the settings name by then.
+        # An evacuated data centre can be restored after the settings dropped it.
         self.registry._data_centres = frozenset({"gulberg"})  # type: ignore[misc]
         self.assertEqual((await self.call("DELETE", "/v1/evacuations/dha"))[0], 200)
         self.assertEqual(self.node.state.evacuations.revision, 2)
@@ -232,9 +233,9 @@
         self.depose()
         self.assertEqual((await self.call("POST", "/v1/evacuations/gulberg"))[0], 503)
 
-    async def test_heartbeats_of_another_writer_name_no_target(self) -> None:
+    async def test_invalid_heartbeats_register_no_target(self) -> None:
         await self.call("PUT", "/v1/routes", make_text(7, services=[{**DESK, "name": "desk"}]))
-        await self.beat()
+        await self.send_heartbeat()
         cases: tuple[dict[str, object], ...] = (
             {"service": "nobody", "target": "t2"},
             {"address": "nowhere", "target": "t2"},
@@ -246,68 +247,72 @@
         )
         for number, changes in enumerate(cases, start=2):
             with self.subTest(changes):
-                self.assertEqual(await self.beat(**{"sequence": number, **changes}), 400)
+                self.assertEqual(await self.send_heartbeat(**{"sequence": number, **changes}), 400)
         self.assertEqual([record.target for record in self.node.state.targets.records()], ["t1"])
-        # A known target may say that it leaves, though its service is gone.
+        # A known target may announce that it is draining after its service was removed.
         await self.call("PUT", "/v1/routes", make_text(8, services=[{**DESK, "name": "other"}]))
-        self.assertEqual(await self.beat(sequence=20, standing="leaving"), 200)
+        self.assertEqual(await self.send_heartbeat(sequence=20, standing="leaving"), 200)
 
-    async def test_a_writer_of_bad_heartbeats_gets_a_line_a_second(self) -> None:
+    async def test_the_log_rate_of_invalid_heartbeats_is_limited(self) -> None:
         with self.assertLogs("damsonlaned.control._registry", "WARNING") as logs:
             for _ in range(50):
                 self.assertEqual((await self.call("PUT", "/v1/targets/t1", b"\xff\xfe"))[0], 400)
         self.assertLess(len(logs.records), 25)
 
-    async def test_a_steady_heartbeat_writes_nothing(self) -> None:
-        await self.beat()
+    async def test_an_unchanged_heartbeat_commits_nothing(self) -> None:
+        await self.send_heartbeat()
         before = self.node.replica.last_index if self.node.replica else 0
         for sequence in range(2, 8):
-            await self.beat(sequence=sequence)
+            await self.send_heartbeat(sequence=sequence)
         self.assertEqual(self.node.replica.last_index if self.node.replica else 0, before)
 
-    async def test_silent_targets_become_the_last_choice_until_heard(self) -> None:
-        await self.beat()
-        await self.registry._silence()
-        self.be_silent_for_a_minute("t1")
-        await self.registry._silence()
+    async def test_a_target_is_silent_until_its_next_heartbeat(self) -> None:
+        await self.send_heartbeat()
+        await self.registry._mark_silent()
+        self.backdate_heartbeat("t1")
+        await self.registry._mark_silent()
         record = self.node.state.targets.find("t1")
         self.assertEqual(record.standing if record else "", "silent")
-        await self.beat(sequence=2)
+        await self.send_heartbeat(sequence=2)
         record = self.node.state.targets.find("t1")
         self.assertEqual(record.standing if record else "", "live")
 
-    async def test_targets_heard_by_another_replica_are_not_silent(self) -> None:
-        self.stop_looking()
-        await self.beat()
-        self.be_silent_for_a_minute("t1")
+    async def test_a_target_with_heartbeats_at_another_replica_is_not_silent(self) -> None:
+        self.stop_checks()
+        await self.send_heartbeat()
+        self.backdate_heartbeat("t1")
         channel = await self.serve_other_replicas()
-        reply = await HEARD.unary(channel)(HeardRequest(targets=("t1",)), timeout=PATIENCE)
+        reply = await HEARD.unary(channel)(
+            HeardRequest(targets=("t1",)), timeout=TEST_TIMEOUT_SECONDS
+        )
         self.assertIsInstance(reply.outcome, Done)
-        await self.registry._silence()
+        await self.registry._mark_silent()
         record = self.node.state.targets.find("t1")
         self.assertEqual(record.standing if record else "", "live")
 
-    async def test_a_replica_that_does_not_lead_names_the_targets_that_it_heard(self) -> None:
-        await self.beat()
-        await self.beat(target="t2")
-        self.stop_looking()
+    async def test_a_follower_reports_received_heartbeats_once(self) -> None:
+        await self.send_heartbeat()
+        await self.send_heartbeat(target="t2")
+        self.stop_checks()
         self.depose()
-        await self.beat(sequence=2)
-        await self.beat(target="t2", sequence=2)
-        client = HeardNames()
+        await self.send_heartbeat(sequence=2)
+        await self.send_heartbeat(target="t2", sequence=2)
+        client = FakeControlClient()
         self.registry._client = cast(ControlClient, client)  # type: ignore[misc]
-        await self.registry._tell_leader()
-        await self.registry._tell_leader()
-        self.assertEqual(client.told, [("t1", "t2")])
+        await self.registry._report_heartbeats()
+        await self.registry._report_heartbeats()
+        self.assertEqual(client.reported, [("t1", "t2")])
 
-    async def test_a_replica_that_does_not_lead_says_so_when_told_of_heartbeats(self) -> None:
+    async def test_a_follower_rejects_reported_heartbeats(self) -> None:
         channel = await self.serve_other_replicas()
         self.depose()
-        reply = await HEARD.unary(channel)(HeardRequest(targets=("t1",)), timeout=PATIENCE)
+        reply = await HEARD.unary(channel)(
+            HeardRequest(targets=("t1",)), timeout=TEST_TIMEOUT_SECONDS
+        )
         self.assertIsInstance(reply.outcome, NotLeader)
-        self.assertNotIn("t1", self.registry._heard)
+        self.assertNotIn("t1", self.registry._heartbeats)
 
-    async def test_what_is_not_understood_is_refused(self) -> None:
+    async def test_invalid_calls_are_refused(self) -> None:
         cases = (
             ("PUT", "/v1/targets/t1", b"{}", 400),
             ("PUT", "/v1/targets/other", encode_bytes(RECORD, TargetRecord), 400),
@@ -318,12 +323,12 @@
             with self.subTest(method=method, path=path):
                 self.assertEqual((await self.call(method, path, body))[0], status)
 
-    async def test_a_group_that_still_forms_takes_nothing(self) -> None:
-        self.group.is_whole = False
-        self.assertEqual(await self.beat(), 503)
+    async def test_a_forming_group_accepts_no_changes(self) -> None:
+        self.group.has_full_size = False
+        self.assertEqual(await self.send_heartbeat(), 503)
         text = encode_bytes(RoutingDocument(version=1), RoutingDocument)
         self.assertEqual((await self.call("PUT", "/v1/routes", text))[0], 503)
-        # What is invalid stays invalid.
+        # An invalid document is refused as invalid all the same.
         self.assertEqual((await self.call("PUT", "/v1/routes", b"{"))[0], 400)
 
     async def test_a_read_without_a_leader_is_refused(self) -> None:
