--- a/packages/damsonlaned/src/damsonlaned/control/_group_manager.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_group_manager.py
@@ -144,7 +144,7 @@
             return
         settings = self._founding
         if may_found(self._own_address, settings.seeds, is_first_start=settings.is_first_start):
-            self._node.found()
+            self._node.found_group()
             _LOG.info("group founded", extra={"cluster": self._node.identity.cluster})
 
     async def _request_admission(self) -> bool:
--- a/packages/damsonlaned/src/damsonlaned/control/_node.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_node.py
@@ -180,7 +180,7 @@
             self._join_cluster(envelope.cluster)
         self._process_output(self._require_replica().receive(self.now(), envelope))
 
-    def found(self) -> None:
+    def found_group(self) -> None:
         """Found a control group with this box as its only member.
 
         Raises:
--- a/packages/damsonlaned/src/damsonlaned/control/_process.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_process.py
@@ -34,7 +34,7 @@
 
 #: Seconds between probes of a failed disk: half of an election timeout, since a
 #: restarted replica has to wait for a leader anyway.
-DISK_LOOK_SECONDS: Final = 0.5
+DISK_PROBE_SECONDS: Final = 0.5
 
 
 async def run_control(
@@ -84,7 +84,7 @@
             _LOG.warning("disk does not accept writes", extra={"fault": str(error)})
         else:
             return True
-        await asyncio.wait({stop}, timeout=DISK_LOOK_SECONDS)
+        await asyncio.wait({stop}, timeout=DISK_PROBE_SECONDS)
     return False
 
 
--- a/packages/damsonlaned/src/damsonlaned/control/_service.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_service.py
@@ -129,7 +129,7 @@
         if await stream.recv_message() is None:
             return
         try:
-            self._node.found()
+            self._node.found_group()
             reply = GroupReply(outcome=Done())
         except AgreementError as error:
             reply = GroupReply(outcome=Denied(detail=str(error)))
--- a/packages/damsonlaned/src/damsonlaned/control/tests/test_group.py
+++ b/packages/damsonlaned/src/damsonlaned/control/tests/test_group.py
@@ -69,7 +69,7 @@
 
     async def test_an_empty_box_never_founds_a_second_group(self) -> None:
         await self.start(0)
-        with mock.patch.object(ControlNode, "found") as found:
+        with mock.patch.object(ControlNode, "found_group") as found:
             await asyncio.sleep(1.0)
             found.assert_not_called()
         self.assertIsNone(self.running[0].node.replica)
--- a/packages/damsonlaned/src/damsonlaned/control/tests/test_node.py
+++ b/packages/damsonlaned/src/damsonlaned/control/tests/test_node.py
@@ -52,7 +52,7 @@
             folder = DataFolder(path)
             folder.open()
             node = ControlNode(_make_settings(path), folder, None)
-            node.found()
+            node.found_group()
             node._since_snapshot = ENTRIES_PER_SNAPSHOT
             with (
                 mock.patch.object(Journal, "rewrite", side_effect=StorageError("full")),
--- a/packages/damsonlaned/src/damsonlaned/control/tests/test_process.py
+++ b/packages/damsonlaned/src/damsonlaned/control/tests/test_process.py
@@ -38,7 +38,7 @@
         )
         self.stop = asyncio.Event()
         self.patch(_process, "wait_for_stop", lambda _: self.stop.wait())
-        self.patch(_process, "DISK_LOOK_SECONDS", 0.02)
+        self.patch(_process, "DISK_PROBE_SECONDS", 0.02)
         self.logs = self.enterContext(self.assertLogs("damsonlaned", "INFO"))
 
     def count_logged(self, text: str) -> int:
--- a/packages/damsonlaned/src/damsonlaned/control/tests/test_registry.py
+++ b/packages/damsonlaned/src/damsonlaned/control/tests/test_registry.py
@@ -87,7 +87,7 @@
         data.open()
         self.addCleanup(data.close)
         self.node = ControlNode(settings, data, None)
-        self.node.found()
+        self.node.found_group()
         self.node.start()
         self.addAsyncCleanup(self.node.stop)
         self.group = FakeGroup()
