--- a/packages/damsonlaned/src/damsonlaned/control/_node.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_node.py
@@ -172,7 +172,12 @@
             self._reads.pop(reference, None)
 
     def receive(self, envelope: Envelope) -> None:
-        """Process an envelope from another replica."""
+        """Process an envelope from another replica.
+
+        Raises:
+            NotLeaderError: the replica stopped after a failed write.
+            StorageError: the disk failed.
+        """
         if envelope.receiver != self.identity.replica:
             return
         self._peers.update_address(envelope.sender, envelope.sender_address)
@@ -196,7 +201,12 @@
         self._start_replica(stored)
 
     def add(self, replica: str, address: str) -> None:
-        """Add a replica as a learner."""
+        """Add a replica as a learner.
+
+        Raises:
+            NotLeaderError: this replica is not the leader.
+            AgreementError: the group doesn't allow the change now.
+        """
         member = Member(replica=replica, address=address)
         own_replica = self._require_replica()
         if own_replica.is_leader and member in own_replica.members.everyone():
@@ -205,7 +215,12 @@
         self._process_output(own_replica.add_learner(self.now(), member))
 
     def remove(self, replica: str) -> None:
-        """Remove a member."""
+        """Remove a member.
+
+        Raises:
+            NotLeaderError: this replica is not the leader.
+            AgreementError: the group doesn't allow the change now.
+        """
         own_replica = self._require_replica()
         self._process_output(own_replica.remove(self.now(), replica))
 
--- a/packages/damsonlaned/src/damsonlaned/storage/__init__.py
+++ b/packages/damsonlaned/src/damsonlaned/storage/__init__.py
@@ -1,4 +1,4 @@
-"""Durable state: one data folder, in which a file counts once it is synced."""
+"""Durable storage: the data folder with the identity and the journal of a replica."""
 
 from damsonlaned.storage._folder import DataFolder
 from damsonlaned.storage._frames import encode_frame, find_frame, read_frame, read_frames
--- a/packages/damsonlaned/src/damsonlaned/storage/_files.py
+++ b/packages/damsonlaned/src/damsonlaned/storage/_files.py
@@ -1,11 +1,11 @@
-"""Writing files so that they count."""
+"""Durable writes of files."""
 
 import os
 from pathlib import Path
 
 
 def sync_folder(folder: Path) -> None:
-    """Sync a folder, so that names made or changed in it last."""
+    """Sync a folder, so that files created or renamed in it survive a crash."""
     descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
         os.fsync(descriptor)
@@ -14,7 +14,10 @@
 
 
 def replace_file(path: Path, data: bytes) -> None:
-    """Write a file whole: at any moment the old or the new content is there."""
+    """Replace the content of a file atomically and sync it.
+
+    After a crash the file holds either the old or the new content.
+    """
     temporary = path.with_name(path.name + ".new")
     with temporary.open("wb") as file:
         file.write(data)
--- a/packages/damsonlaned/src/damsonlaned/storage/_folder.py
+++ b/packages/damsonlaned/src/damsonlaned/storage/_folder.py
@@ -1,4 +1,4 @@
-"""The data folder, held by one process at a time."""
+"""The data folder, locked by one process at a time."""
 
 import fcntl
 import os
@@ -10,16 +10,16 @@
 
 _LOCK: Final = "lock"
 _PROBE: Final = "probe"
-#: Bytes of the file that shows whether the disk takes writes: a block of most file
+#: Bytes of the file that tests whether the disk accepts writes: the block size of most file
 #: systems, and more than most writes to the journal.
 PROBE_BYTES: Final = 4_096
 
 
 class DataFolder:
-    """A data folder; open it once at the start of a process.
+    """A data folder; opened once, at the start of a process.
 
     Args:
-        path: the folder, made if it is missing.
+        path: the folder; created if it is missing.
     """
 
     def __init__(self, path: str) -> None:
@@ -34,10 +34,10 @@
         self.close()
 
     def open(self) -> None:
-        """Make the folder if needed and take it.
+        """Create the folder if needed and lock it.
 
         Raises:
-            StorageError: it can't be made, or another process holds it.
+            StorageError: the folder can't be created, or another process has locked it.
         """
         try:
             self.path.mkdir(parents=True, exist_ok=True)
@@ -50,10 +50,10 @@
             raise StorageError(f"{self.path}: {error.strerror}") from None
 
     def probe(self) -> None:
-        """Write and sync a small file, to see whether the disk takes writes.
+        """Write, sync and remove a small file, to test whether the disk accepts writes.
 
         Raises:
-            StorageError: it refuses them.
+            StorageError: the write failed.
         """
         path = self.path / _PROBE
         try:
@@ -63,7 +63,7 @@
             raise StorageError(f"{path}: cannot be written: {error.strerror}") from None
 
     def close(self) -> None:
-        """Give the folder back."""
+        """Unlock the folder."""
         if self._descriptor >= 0:
             os.close(self._descriptor)
             self._descriptor = -1
--- a/packages/damsonlaned/src/damsonlaned/storage/_frames.py
+++ b/packages/damsonlaned/src/damsonlaned/storage/_frames.py
@@ -1,4 +1,4 @@
-"""Frames: pieces of a file that are whole or recognisably not."""
+"""Frames: records of a file with a checksum, so that incomplete or damaged ones are detected."""
 
 import struct
 import zlib
@@ -7,19 +7,19 @@
 from typing import Final
 
 _MAGIC: Final = b"DLF1"
-#: Magic, length of the payload, checksum of length and payload.
+#: Magic number, length of the payload, and CRC-32 of the length and the payload.
 _HEADER: Final = struct.Struct(">4sII")
 
 
 @dataclass(frozen=True, kw_only=True)
 class Frame:
-    """A whole frame."""
+    """A frame that is complete and undamaged."""
 
-    #: Byte offset at which it starts.
+    #: Byte offset of its first byte.
     offset: int
-    #: Byte offset just after it.
+    #: Byte offset after its last byte.
     end: int
-    #: What it holds.
+    #: Its content.
     payload: bytes
 
 
@@ -29,7 +29,7 @@
 
 
 def read_frame(data: bytes, offset: int) -> Frame | None:
-    """Return the frame at ``offset``, or None when no whole frame starts there."""
+    """Return the frame at ``offset``, or None if no valid frame starts there."""
     if len(data) - offset < _HEADER.size:
         return None
     magic, length, checksum = _HEADER.unpack_from(data, offset)
@@ -41,7 +41,7 @@
 
 
 def read_frames(data: bytes) -> Iterator[Frame]:
-    """Yield frames from the start up to the first that is not whole."""
+    """Yield frames from the start of the data up to the first invalid one."""
     offset = 0
     while (frame := read_frame(data, offset)) is not None:
         yield frame
@@ -49,7 +49,7 @@
 
 
 def find_frame(data: bytes, offset: int) -> int | None:
-    """Return where the next whole frame starts at or after ``offset``, or None."""
+    """Return the offset of the first valid frame at or after ``offset``, or None."""
     while (offset := data.find(_MAGIC, offset)) >= 0:
         if read_frame(data, offset) is not None:
             return offset
--- a/packages/damsonlaned/src/damsonlaned/storage/_identity.py
+++ b/packages/damsonlaned/src/damsonlaned/storage/_identity.py
@@ -1,4 +1,4 @@
-"""Who a data folder belongs to, written once."""
+"""The identity of the replica that a data folder belongs to."""
 
 import secrets
 from dataclasses import dataclass
@@ -18,18 +18,18 @@
 class Identity:
     """The identity of a control replica."""
 
-    #: Name of the replica: its box and an incarnation that is never drawn again.
+    #: Name of the replica: the name of its box and a random suffix, drawn anew each time.
     replica: str
-    #: Identity of its group; empty until it is founded or admitted.
+    #: Identity of its group; empty until the replica founds or joins one.
     cluster: str = ""
 
     def with_cluster(self, cluster: str) -> "Identity":
-        """Return the identity as a member of a group."""
+        """Return the identity with that of its group."""
         return Identity(replica=self.replica, cluster=cluster)
 
 
 def read_identity(folder: Path) -> Identity | None:
-    """Return the identity of a folder, or None when it has none.
+    """Return the identity stored in a folder, or None if there is none.
 
     Raises:
         CorruptionError: the file is damaged.
@@ -40,14 +40,14 @@
     try:
         return decode_bytes(path.read_bytes(), Identity)
     except ValidationError:
-        raise CorruptionError(str(path), 0, "not an identity") from None
+        raise CorruptionError(str(path), 0, "not a valid identity") from None
 
 
 def write_identity(folder: Path, identity: Identity) -> None:
-    """Store the identity of a folder.
+    """Store an identity in a folder.
 
     Raises:
-        StorageError: the disk refused.
+        StorageError: the write failed.
     """
     path = folder / _NAME
     try:
@@ -57,5 +57,5 @@
 
 
 def draw_identity(box: str) -> Identity:
-    """Return a new identity for a box, which waits to be admitted."""
+    """Return a new random identity for a box, without a group."""
     return Identity(replica=f"{box}.{secrets.token_hex(6)}")
--- a/packages/damsonlaned/src/damsonlaned/storage/_journal.py
+++ b/packages/damsonlaned/src/damsonlaned/storage/_journal.py
@@ -1,9 +1,9 @@
-"""The journal: everything a control replica must not forget, in one file.
+"""The journal: the durable state of a control replica, in one file.
 
-The first frame holds the state of the agreement when the file was made; each
-further frame holds one `Persist`, written and synced at once.  So a frame that
-is not whole was never acknowledged if it is the last, and is damage if a whole
-frame follows it.
+The first frame holds the consensus state at the time when the file was written; each
+further frame holds one `Persist`, synced before it is acknowledged.  So an invalid frame at
+the end is an interrupted write that was never acknowledged, while an invalid frame that a
+valid one follows is damage.
 """
 
 import os
@@ -24,7 +24,7 @@
 
 
 class Journal:
-    """An open journal.
+    """The journal in a data folder.
 
     Args:
         folder: the data folder.
@@ -33,22 +33,26 @@
     def __init__(self, folder: Path) -> None:
         self._path: Final = folder / _NAME
         self._descriptor = -1
-        #: Bytes written since the file was made or last replaced.
+        #: Bytes appended since the file was created or last replaced.
         self.grown_bytes = 0
 
     def exists(self) -> bool:
-        """Tell whether the folder holds a journal."""
+        """Return whether the folder holds a journal."""
         return self._path.exists()
 
     def create(self) -> None:
-        """Make an empty journal."""
+        """Create an empty journal, replacing any other.
+
+        Raises:
+            StorageError: the write failed.
+        """
         self.rewrite(Stored(hard_state=HardState(), snapshot=EMPTY_SNAPSHOT))
 
     def recover(self) -> Stored:
-        """Read the journal, cutting off a torn last frame, and open it for writing.
+        """Read the journal, truncate an incomplete last frame, and open the file for writing.
 
         Raises:
-            CorruptionError: acknowledged bytes are damaged.
+            CorruptionError: acknowledged data is damaged.
             StorageError: the file can't be read.
         """
         try:
@@ -58,9 +62,9 @@
         frames = list(read_frames(data))
         end = frames[-1].end if frames else 0
         if end < len(data):
-            self._cut(data, end)
+            self._truncate(data, end)
         if not frames:
-            raise CorruptionError(str(self._path), 0, "the first frame is not whole")
+            raise CorruptionError(str(self._path), 0, "the first frame is incomplete or damaged")
         stored = self._decode(frames[0], Stored)
         for frame in frames[1:]:
             stored = stored.with_persist(self._decode(frame, Persist))
@@ -68,11 +72,11 @@
         return stored
 
     def append(self, persist: Persist) -> None:
-        """Write and sync.
+        """Append a frame and sync it.
 
         Raises:
-            StorageError: the disk refused; what is on it is unknown, so the
-                process must stop.
+            StorageError: the write failed; the content of the disk is unknown, so the
+                replica must stop.
         """
         data = encode_frame(encode_bytes(persist, Persist))
         self.grown_bytes += len(data)
@@ -87,7 +91,7 @@
         """Replace the journal by one that starts with ``stored``.
 
         Raises:
-            StorageError: the disk refused.
+            StorageError: the write failed.
         """
         try:
             replace_file(self._path, encode_frame(encode_bytes(stored, Stored)))
@@ -106,10 +110,10 @@
         self.close()
         self._descriptor = os.open(self._path, os.O_WRONLY | os.O_APPEND)
 
-    def _cut(self, data: bytes, end: int) -> None:
-        later = find_frame(data, end)
-        if later is not None:
-            reason = f"not a whole frame, yet one follows at byte {later}"
+    def _truncate(self, data: bytes, end: int) -> None:
+        next_valid = find_frame(data, end)
+        if next_valid is not None:
+            reason = f"invalid frame, but a valid frame follows at byte {next_valid}"
             raise CorruptionError(str(self._path), end, reason)
         if end == 0:
             return
@@ -124,5 +128,5 @@
         try:
             return decode_bytes(frame.payload, shape)
         except ValidationError as error:
-            reason = f"the frame holds no {shape.__name__}: {error.errors()[0]['msg']}"
+            reason = f"the frame is not a valid {shape.__name__}: {error.errors()[0]['msg']}"
             raise CorruptionError(str(self._path), frame.offset, reason) from None
--- a/packages/damsonlaned/src/damsonlaned/storage/tests/test_journal.py
+++ b/packages/damsonlaned/src/damsonlaned/storage/tests/test_journal.py
@@ -1,4 +1,4 @@
-"""The journal after cuts, damage and loss."""
+"""The journal after interrupted writes, damage and crashes."""
 
 import tempfile
 import unittest
@@ -35,7 +35,7 @@
 
 
 def _write(folder: Path) -> list[int]:
-    """Write everything and return the length of the file after each write."""
+    """Write all of `_WRITES` and return the length of the file after each write."""
     journal = Journal(folder)
     journal.rewrite(_START)
     lengths = [(folder / "journal").stat().st_size]
@@ -56,13 +56,13 @@
 
 class JournalTest(unittest.TestCase):
     def setUp(self) -> None:
-        scratch = tempfile.TemporaryDirectory()
-        self.addCleanup(scratch.cleanup)
-        self.folder = Path(scratch.name)
+        folder = tempfile.TemporaryDirectory()
+        self.addCleanup(folder.cleanup)
+        self.folder = Path(folder.name)
         self.lengths = _write(self.folder)
-        self.whole = (self.folder / "journal").read_bytes()
+        self.content = (self.folder / "journal").read_bytes()
 
-    def test_everything_synced_comes_back(self) -> None:
+    def test_all_synced_writes_are_recovered(self) -> None:
         expected = Stored(
             hard_state=HardState(term=2, voted_for="a"),
             snapshot=_START.snapshot,
@@ -70,69 +70,69 @@
         )
         self.assertEqual(_recover(self.folder), expected)
 
-    def test_a_cut_at_any_byte_keeps_every_write_before_it(self) -> None:
+    def test_truncation_at_any_byte_keeps_all_writes_before_it(self) -> None:
         states = self._states()
-        for length in range(self.lengths[0], len(self.whole) + 1):
-            (self.folder / "journal").write_bytes(self.whole[:length])
+        for length in range(self.lengths[0], len(self.content) + 1):
+            (self.folder / "journal").write_bytes(self.content[:length])
             synced = sum(1 for end in self.lengths[1:] if end <= length)
-            self.assertEqual(_recover(self.folder), states[synced], f"cut at byte {length}")
+            self.assertEqual(_recover(self.folder), states[synced], f"truncated at byte {length}")
 
-    def test_writing_goes_on_after_a_cut(self) -> None:
-        (self.folder / "journal").write_bytes(self.whole[:-3])
+    def test_writes_continue_after_a_truncation(self) -> None:
+        (self.folder / "journal").write_bytes(self.content[:-3])
         journal = Journal(self.folder)
         journal.recover()
         journal.append(_WRITES[-1])
         journal.close()
-        self.assertEqual((self.folder / "journal").read_bytes(), self.whole)
+        self.assertEqual((self.folder / "journal").read_bytes(), self.content)
 
-    def test_damage_below_the_last_write_is_reported_with_its_place(self) -> None:
+    def test_damage_before_the_last_write_is_reported_with_its_offset(self) -> None:
         for position in range(self.lengths[0], self.lengths[-2]):
-            data = bytearray(self.whole)
+            data = bytearray(self.content)
             data[position] ^= 0x40
             (self.folder / "journal").write_bytes(bytes(data))
-            with self.subTest(byte=position), self.assertRaises(CorruptionError) as caught:
+            with self.subTest(byte=position), self.assertRaises(CorruptionError) as raised:
                 _recover(self.folder)
             start = max(end for end in self.lengths if end <= position)
-            self.assertEqual(caught.exception.offset, start)
+            self.assertEqual(raised.exception.offset, start)
 
     def test_damage_of_the_first_frame_is_reported(self) -> None:
-        data = bytearray(self.whole)
+        data = bytearray(self.content)
         data[5] ^= 1
         (self.folder / "journal").write_bytes(bytes(data))
         with self.assertRaises(CorruptionError):
             _recover(self.folder)
 
-    def test_a_damaged_file_is_left_as_it_was(self) -> None:
-        data = bytearray(self.whole)
+    def test_a_damaged_file_is_not_changed(self) -> None:
+        data = bytearray(self.content)
         data[self.lengths[0] + 20] ^= 1
         (self.folder / "journal").write_bytes(bytes(data))
         with self.assertRaises(CorruptionError):
             _recover(self.folder)
         self.assertEqual((self.folder / "journal").read_bytes(), bytes(data))
 
-    def test_a_crash_while_rewriting_leaves_the_old_journal(self) -> None:
+    def test_a_crash_during_a_rewrite_keeps_the_old_journal(self) -> None:
         (self.folder / "journal.new").write_bytes(b"half of a new one")
         self.assertEqual(_recover(self.folder), self._states()[-1])
 
     def _states(self) -> list[Stored]:
-        """Return what each prefix of the writes makes, by recovering whole prefixes."""
-        found = []
+        """Return the state recovered after each of the writes."""
+        states = []
         for end in self.lengths:
-            (self.folder / "journal").write_bytes(self.whole[:end])
-            found.append(_recover(self.folder))
-        return found
+            (self.folder / "journal").write_bytes(self.content[:end])
+            states.append(_recover(self.folder))
+        return states
 
 
 class IdentityTest(unittest.TestCase):
     def setUp(self) -> None:
-        scratch = tempfile.TemporaryDirectory()
-        self.addCleanup(scratch.cleanup)
-        self.folder = Path(scratch.name)
+        folder = tempfile.TemporaryDirectory()
+        self.addCleanup(folder.cleanup)
+        self.folder = Path(folder.name)
 
     def test_an_empty_folder_has_no_identity(self) -> None:
         self.assertIsNone(read_identity(self.folder))
 
-    def test_an_identity_comes_back(self) -> None:
+    def test_a_written_identity_is_read_back(self) -> None:
         identity = Identity(replica="box.1", cluster="c")
         write_identity(self.folder, identity)
         self.assertEqual(read_identity(self.folder), identity)
@@ -144,7 +144,7 @@
 
 
 class DataFolderTest(unittest.TestCase):
-    def test_a_folder_is_held_by_one_process_at_a_time(self) -> None:
+    def test_a_folder_is_locked_while_it_is_open(self) -> None:
         with tempfile.TemporaryDirectory() as path:
             first = DataFolder(path)
             first.open()
