--- a/packages/damsonlaned/src/damsonlaned/targets/__init__.py
+++ b/packages/damsonlaned/src/damsonlaned/targets/__init__.py
@@ -1,4 +1,4 @@
-"""Targets: the protocols of back ends, one module each, in a registry."""
+"""Protocols of targets, registered by the kind of service that settings name."""
 
 from damsonlaned.targets._calls import KINDS, TargetCall, TargetKind, TargetReply, target_kind
 from damsonlaned.targets._connections import Connections, TargetNotice
--- a/packages/damsonlaned/src/damsonlaned/targets/_calls.py
+++ b/packages/damsonlaned/src/damsonlaned/targets/_calls.py
@@ -1,4 +1,4 @@
-"""Calls to targets, whatever their kind."""
+"""Calls to targets, and the interface of the protocols in which they are made."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable, Generator
@@ -10,9 +10,9 @@
 from damsonlane.requests import AttemptKey, AttemptResult
 from damsonlane.routing import LoadReport
 from damsonlaned.targets._connections import (
-    REFUSING_STATUSES,
-    SENT_FAULTS,
-    UNSENT_FAULTS,
+    REJECTING_STATUSES,
+    SENT_ERRORS,
+    UNSENT_ERRORS,
     Connections,
     LateError,
     TargetNotice,
@@ -23,36 +23,36 @@
 
 @dataclass(frozen=True, kw_only=True)
 class TargetCall:
-    """One attempt, ready to be sent."""
+    """The input of one attempt at a target."""
 
     #: Address of the target.
     address: str
-    #: Names the attempt.
+    #: Identifies the attempt.
     key: AttemptKey
     #: Input of the stage.
     text: str
-    #: Model to ask for; empty unless the target is an engine.
+    #: Name of the model; empty unless the target is an engine.
     model: str
-    #: When the attempt must be over, on the monotonic clock, in seconds.
+    #: Deadline of the attempt, by the monotonic clock, in seconds.
     due_at: float
 
 
 @dataclass(frozen=True, kw_only=True)
 class TargetReply:
-    """What came of a call."""
+    """The outcome of a call."""
 
     #: The result.
     result: AttemptResult
-    #: The load that the target reported, if it did.
+    #: The load that the target reported, or None.
     report: LoadReport | None = None
-    #: Whether the connection broke under the attempt, which the target may not have survived.
+    #: Whether the connection failed during the attempt; the target may have exited.
     is_broken: bool = False
 
 
 class TargetKind(ABC):
-    """Speaks one target protocol; subclasses read the body of a good response."""
+    """A protocol of targets; subclasses make request bodies and parse successful responses."""
 
-    #: Path to which requests are posted.
+    #: Path of the requests.
     path: str
 
     def call(
@@ -61,37 +61,49 @@
         call: TargetCall,
         on_notice: Callable[[TargetNotice], None] = lambda _: None,
     ) -> Generator[str, None, TargetReply]:
-        """Send an attempt, yield pieces of its output as they come, return the outcome.
+        """Send an attempt, yield its output as it arrives, and return the outcome.
 
         Args:
             connections: connections to targets.
             call: the attempt.
-            on_notice: told what the head of the answer says, whatever becomes of its body.
+            on_notice: called with the announcements in the response headers, before the body
+                is read.
+
+        Yields:
+            Parts of the output, where the protocol streams it.
+
+        Returns:
+            The outcome, also of an attempt that failed.
         """
         try:
             response = connections.post(call.address, self.path, self.make_body(call), call.due_at)
-        except UNSENT_FAULTS as error:
-            return _fault("unsent", error)
-        except SENT_FAULTS as error:
-            return _fault("failed", error)
+        except UNSENT_ERRORS as error:
+            return _make_failure("unsent", error)
+        except SENT_ERRORS as error:
+            return _make_failure("failed", error)
         on_notice(read_notice(response))
         try:
-            return (yield from self._receive(response, call))
-        except (*SENT_FAULTS, ValueError, KeyError, TypeError) as error:
+            return (yield from self._read_response(response, call))
+        except (*SENT_ERRORS, ValueError, KeyError, TypeError) as error:
             response.close()
-            return _fault("failed", error)
+            return _make_failure("failed", error)
 
     @abstractmethod
     def make_body(self, call: TargetCall) -> dict[str, object]:
-        """Return the body of the request."""
+        """Return the JSON body of the request."""
 
     @abstractmethod
     def read_result(
         self, response: urllib3.BaseHTTPResponse, call: TargetCall
     ) -> Generator[str, None, AttemptResult]:
-        """Read a good response, yielding pieces of output where they come one by one."""
+        """Read a successful response, yielding its output where the protocol streams it.
 
-    def _receive(
+        Raises:
+            ValueError, KeyError, TypeError: the response is invalid.
+            OSError, HTTPError: the connection failed, or the deadline passed.
+        """
+
+    def _read_response(
         self, response: urllib3.BaseHTTPResponse, call: TargetCall
     ) -> Generator[str, None, TargetReply]:
         report = read_load(response)
@@ -103,22 +115,26 @@
         is_leaving = read_notice(response).is_leaving
         response.drain_conn()
         response.release_conn()
-        is_refused = response.status in REFUSING_STATUSES
+        is_rejected = response.status in REJECTING_STATUSES
         result = AttemptResult(
             answers=None,
-            outcome="refused" if is_refused else "failed",
+            outcome="refused" if is_rejected else "failed",
             is_leaving=is_leaving,
             fault=f"the target answered with status {response.status}",
         )
         return TargetReply(result=result, report=report)
 
 
-#: All kinds by the name that settings use.
+#: All protocols by the kind that settings name.
 KINDS: Final[dict[str, TargetKind]] = {}
 
 
 def target_kind(name: str) -> Callable[[type[TargetKind]], type[TargetKind]]:
-    """Register a kind of target under the name that settings use."""
+    """Register a protocol under the kind that settings name.
+
+    Args:
+        name: the kind of service.
+    """
 
     def register(kind: type[TargetKind]) -> type[TargetKind]:
         KINDS[name] = kind()
@@ -127,11 +143,11 @@
     return register
 
 
-def _fault(outcome: str, error: Exception) -> TargetReply:
-    name = type(error).__name__
+def _make_failure(outcome: str, error: Exception) -> TargetReply:
+    error_name = type(error).__name__
     if outcome == "unsent":
-        result = AttemptResult(answers=None, outcome="unsent", fault=f"not reached ({name})")
+        result = AttemptResult(answers=None, outcome="unsent", fault=f"not reached ({error_name})")
     else:
-        result = AttemptResult(answers=None, outcome="failed", fault=f"broke off ({name})")
+        result = AttemptResult(answers=None, outcome="failed", fault=f"broke off ({error_name})")
         return TargetReply(result=result, is_broken=not isinstance(error, LateError))
     return TargetReply(result=result)
--- a/packages/damsonlaned/src/damsonlaned/targets/_connections.py
+++ b/packages/damsonlaned/src/damsonlaned/targets/_connections.py
@@ -1,4 +1,4 @@
-"""Connections to targets, kept open between requests."""
+"""Pooled connections to targets, and the headers of their responses."""
 
 import json
 import threading
@@ -14,51 +14,51 @@
 from damsonlaned.clock import read_clock
 from damsonlaned.http import read_rate_limit, read_retry_after
 
-#: Idle connections kept for one target.
+#: Largest number of idle connections to one target.
 IDLE_CONNECTIONS: Final = 64
-#: Longest time to connect, in seconds.
-CONNECT_SECONDS: Final = 0.5
-#: Bytes read at once.
+#: Time-out for connecting, in seconds.
+CONNECT_TIMEOUT_SECONDS: Final = 0.5
+#: Largest number of bytes per read.
 CHUNK_BYTES: Final = 65_536
 #: Header in which a target reports its load.
 LOAD_HEADER: Final = "Damsonlane-Load"
-#: Header by which a target says that it is leaving.
+#: Header with which a target announces that it is draining.
 LEAVING_HEADER: Final = "Damsonlane-Leaving"
-#: Header by which a target names the requests a second that it takes from all boxes.
+#: Header with which a target announces its rate limit, in requests a second from all boxes.
 RATE_LIMIT_HEADER: Final = "Damsonlane-Rate-Limit"
 
-#: Raised when no byte of the request can have reached the target.
-UNSENT_FAULTS: Final = (NewConnectionError, ConnectTimeoutError)
-#: Raised when the request may have reached the target.
-SENT_FAULTS: Final = (HTTPError, OSError)
+#: Errors after which no byte of the request can have reached the target.
+UNSENT_ERRORS: Final = (NewConnectionError, ConnectTimeoutError)
+#: Errors after which the request may have reached the target.
+SENT_ERRORS: Final = (HTTPError, OSError)
 
 
-#: Statuses by which a target refuses without running anything.
-REFUSING_STATUSES: Final = frozenset({429, 503})
-#: Status by which a target says that it is the one that has too much to do.
-BUSY_STATUS: Final = 503
+#: Statuses with which a target rejects a request without running it.
+REJECTING_STATUSES: Final = frozenset({429, 503})
+#: Status with which a target reports that it is overloaded itself.
+OVERLOADED_STATUS: Final = 503
 
 
 @dataclass(frozen=True, kw_only=True)
 class TargetNotice:
-    """What the head of an answer says of its target."""
+    """What a target announces in the headers of a response."""
 
-    #: Seconds for which the target wants nothing from this box.
+    #: Seconds for which the target asks this box to back off.
     backoff_seconds: float = 0.0
-    #: Whether it leaves.
+    #: Whether the target is draining.
     is_leaving: bool = False
-    #: Requests a second that it takes from all boxes together; None where it names no limit.
+    #: Rate limit in requests a second from all boxes together; None without a limit.
     rate_limit: float | None = None
-    #: Whether it took the request that it answers.
+    #: Whether the target accepted the request of this response.
     has_taken: bool = True
 
 
 class LateError(OSError):
-    """The time for the attempt is over."""
+    """The deadline of the attempt passed."""
 
 
 class Connections:
-    """One pool of connections for each target address."""
+    """A pool of connections for each address of a target."""
 
     def __init__(self) -> None:
         self._pools: dict[str, urllib3.HTTPConnectionPool] = {}
@@ -69,13 +69,21 @@
     ) -> urllib3.BaseHTTPResponse:
         """Send a request once and return the response with its body unread.
 
-        The library's own retries stay off: whether a call may be sent again
-        is decided elsewhere.
+        The retries of urllib3 are disabled: the caller decides whether a call may be retried.
+
+        Args:
+            address: address of the target.
+            path: path of the request.
+            body: JSON body of the request.
+            due_at: deadline of the attempt, by the monotonic clock, in seconds.
+
+        Raises:
+            LateError: the deadline passed before the request was sent.
         """
         seconds = due_at - read_clock()
         if seconds <= 0:
             raise LateError("the deadline passed before the request was sent")
-        timeout = urllib3.Timeout(connect=min(CONNECT_SECONDS, seconds), read=seconds)
+        timeout = urllib3.Timeout(connect=min(CONNECT_TIMEOUT_SECONDS, seconds), read=seconds)
         return self._pool(address).urlopen(
             "POST",
             path,
@@ -107,10 +115,10 @@
 
 
 def read_chunks(response: urllib3.BaseHTTPResponse, due_at: float) -> Iterator[bytes]:
-    """Yield the body as it arrives, until its end.
+    """Yield the body of a response as it arrives.
 
     Raises:
-        LateError: the time is over first.
+        LateError: the deadline passed before the end of the body.
     """
     while True:
         remaining = due_at - read_clock()
@@ -126,22 +134,22 @@
 
 
 def read_notice(response: urllib3.BaseHTTPResponse) -> TargetNotice:
-    """Return what an answer says of its target besides its load."""
+    """Return what a target announces in the headers of a response, besides its load."""
     headers = response.headers
     seconds = 0.0
-    if response.status == BUSY_STATUS:
+    if response.status == OVERLOADED_STATUS:
         seconds = read_retry_after(headers.get("Retry-After"), headers.get("Date"))
     is_leaving = headers.get(LEAVING_HEADER, "").strip() not in ("", "0")
     return TargetNotice(
         backoff_seconds=seconds,
         is_leaving=is_leaving,
         rate_limit=read_rate_limit(headers.getlist(RATE_LIMIT_HEADER)),
-        has_taken=response.status not in REFUSING_STATUSES,
+        has_taken=response.status not in REJECTING_STATUSES,
     )
 
 
 def read_load(response: urllib3.BaseHTTPResponse) -> LoadReport | None:
-    """Return the load that a target reported with its answer, or None."""
+    """Return the load that a target reported with a response, or None."""
     text = response.headers.get(LOAD_HEADER)
     if text is None:
         return None
--- a/packages/damsonlaned/src/damsonlaned/targets/_engines.py
+++ b/packages/damsonlaned/src/damsonlaned/targets/_engines.py
@@ -1,4 +1,4 @@
-"""Model engines: completions streamed as server-sent events."""
+"""Protocol of model engines: completions streamed as server-sent events."""
 
 import json
 from collections.abc import Generator, Iterator
@@ -10,21 +10,21 @@
 from damsonlane.requests import AttemptKey, AttemptResult
 from damsonlaned.targets._calls import TargetCall, TargetKind, target_kind
 from damsonlaned.targets._connections import read_chunks
-from damsonlaned.targets._pools import read_key
+from damsonlaned.targets._pools import read_attempt_key
 
-#: Data of the event that ends a whole stream.
+#: Data of the last event of a complete stream.
 _DONE: Final = "[DONE]"
 
 
 @final
 @target_kind("engine")
 class Engine(TargetKind):
-    """An engine that speaks the common completions interface."""
+    """The completions interface of model engines."""
 
     path = "/v1/completions"
 
     def make_body(self, call: TargetCall) -> dict[str, object]:
-        """Return the prompt and, as metadata to be echoed, the attempt's names."""
+        """Return the request with the prompt and, as metadata to be echoed, the attempt's key."""
         return {
             "model": call.model,
             "prompt": call.text,
@@ -41,32 +41,32 @@
     def read_result(
         self, response: urllib3.BaseHTTPResponse, call: TargetCall
     ) -> Generator[str, None, AttemptResult]:
-        """Yield the tokens; only the last event says that the stream is whole."""
-        pieces: list[str] = []
+        """Yield the tokens; the stream is complete only if the last event is `_DONE`."""
+        token_texts: list[str] = []
         wanted = call.key
         for data in _read_events(response, call.due_at):
             if data == _DONE:
-                # Read on to the end, so that the connection can be used again.
+                # Read to the end, so that the connection can be reused.
                 for _ in read_chunks(response, call.due_at):
                     pass
                 return AttemptResult(
-                    # A stream without any event never said which attempt it answers.
-                    answers=wanted if pieces else None,
+                    # Without any event, nothing confirms which attempt the stream answers.
+                    answers=wanted if token_texts else None,
                     outcome="answered",
-                    output="".join(pieces),
-                    tokens=len(pieces),
+                    output="".join(token_texts),
+                    tokens=len(token_texts),
                 )
             event = json.loads(data)
-            answers = read_key(event["metadata"])
+            answers = read_attempt_key(event["metadata"])
             if answers != wanted:
-                return _crossed(answers, len(pieces))
-            piece = str(event["choices"][0]["text"])
-            pieces.append(piece)
-            yield piece
+                return _make_mismatch(answers, len(token_texts))
+            token_text = str(event["choices"][0]["text"])
+            token_texts.append(token_text)
+            yield token_text
         return AttemptResult(
             answers=None,
             outcome="failed",
-            tokens=len(pieces),
+            tokens=len(token_texts),
             fault="the stream ended before its last event",
         )
 
@@ -76,7 +76,7 @@
         yield event.data
 
 
-def _crossed(answers: AttemptKey, tokens: int) -> AttemptResult:
+def _make_mismatch(answers: AttemptKey, tokens: int) -> AttemptResult:
     return AttemptResult(
         answers=answers,
         outcome="failed",
--- a/packages/damsonlaned/src/damsonlaned/targets/_pools.py
+++ b/packages/damsonlaned/src/damsonlaned/targets/_pools.py
@@ -1,4 +1,4 @@
-"""Stage pools and plain services: one JSON object each way."""
+"""Protocol of stage pools and plain services: a JSON object in each direction."""
 
 import json
 from collections.abc import Generator
@@ -13,12 +13,12 @@
 
 @target_kind("pool")
 class Pool(TargetKind):
-    """A worker of a stage pool."""
+    """The protocol of the workers of a stage pool."""
 
     path = "/v1/run"
 
     def make_body(self, call: TargetCall) -> dict[str, object]:
-        """Return the attempt's names and input."""
+        """Return the key and the input of the attempt."""
         return {
             "request": call.key.request,
             "organisation": call.key.organisation,
@@ -30,23 +30,27 @@
     def read_result(
         self, response: urllib3.BaseHTTPResponse, call: TargetCall
     ) -> Generator[str, None, AttemptResult]:
-        """Read the whole object; one cut short is no JSON and so no answer."""
+        """Read the object; a truncated one is invalid JSON and fails the attempt."""
         body = json.loads(b"".join(read_chunks(response, call.due_at)))
         output = body["output"]
         if not isinstance(output, str):
             raise TypeError("output is not text")
         yield from ()
-        return AttemptResult(answers=read_key(body), outcome="answered", output=output)
+        return AttemptResult(answers=read_attempt_key(body), outcome="answered", output=output)
 
 
 @final
 @target_kind("plain")
 class Plain(Pool):
-    """A plain service beside the engines; some of its calls may not be repeated."""
+    """The protocol of plain services, some of whose calls must not be retried."""
 
 
-def read_key(body: dict[str, object]) -> AttemptKey:
-    """Return which attempt a target says it answers."""
+def read_attempt_key(body: dict[str, object]) -> AttemptKey:
+    """Return the key of the attempt that a response says it answers.
+
+    Raises:
+        KeyError, ValueError: a field is missing or invalid.
+    """
     return AttemptKey(
         request=str(body["request"]),
         organisation=str(body["organisation"]),
