--- a/packages/damsonlaned/src/damsonlaned/control/_group_manager.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_group_manager.py
@@ -232,8 +232,8 @@
     async def _confirm_removed(self, applicant: Applicant) -> NotLeader | NotAMember:
         """Answer that a replica was removed, once a quorum confirms that this replica leads.
 
-        The removed replica erases its disk on that answer.  A leader that was deposed in the
-        meantime, or whose removal of the replica may still be undone, must not give it.
+        The removed replica erases its disk on that answer, so a leader that was deposed in the
+        meantime, or whose removal of the replica may still be undone, answers otherwise.
         """
         try:
             await self._node.confirm()
--- a/packages/damsonlaned/src/damsonlaned/control/_registry.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_registry.py
@@ -101,7 +101,7 @@
 
     def handlers(self) -> Mapping[str, Handler]:
         """Return the handlers of calls from other replicas, by path."""
-        return {HEARD.path: HEARD.handler(self._serve_heard)}
+        return {HEARD.path: HEARD.handler(self._serve_report)}
 
     async def start(self) -> None:
         """Start listening.
@@ -273,7 +273,7 @@
         if targets:
             await self._client.tell_heard(targets, REPORT_TIMEOUT_SECONDS)
 
-    async def _serve_heard(self, stream: Stream[HeardRequest, HeardReply]) -> None:
+    async def _serve_report(self, stream: Stream[HeardRequest, HeardReply]) -> None:
         """Record, at the leader, the targets whose heartbeats another replica received."""
         request = await stream.recv_message()
         if request is None:
@@ -308,7 +308,7 @@
     # Refusals.
 
     def _refuse_invalid(self, request: HttpRequest, error_text: str) -> HttpResponse:
-        """Refuse an invalid call; at most one a second is logged, with the number left out."""
+        """Refuse an invalid call; log at most one a second, with the number of omitted ones."""
         omitted = self._invalid_call_log.admit(self._node.now())
         if omitted is not None:
             call = f"{request.method} {request.path}"[:MAX_LOGGED_CALL_LENGTH]
--- a/packages/damsonlaned/src/damsonlaned/control/tests/test_group.py
+++ b/packages/damsonlaned/src/damsonlaned/control/tests/test_group.py
@@ -148,7 +148,7 @@
             lambda: all((box.node.state_age() or 9.0) < 1.0 for box in self.running),
             "the state of a follower is not current",
         )
-        # Two of five are no quorum: the state of neither remains current, leader or follower.
+        # Two of five are no quorum, so the state of both becomes stale, also at a leader.
         await self.stop(2, 3, 4)
 
         def is_true() -> bool:
--- a/packages/damsonlaned/src/damsonlaned/control/tests/test_registry.py
+++ b/packages/damsonlaned/src/damsonlaned/control/tests/test_registry.py
@@ -125,7 +125,7 @@
         task.cancel()
 
     def backdate_heartbeat(self, target: str) -> None:
-        """Set the last heartbeat of a target to a minute ago, at a leader of as long a time."""
+        """Set the last heartbeat of a target and the begin of the leadership to a minute ago."""
         ago = self.node.now() - 60
         self.registry._heartbeats.record(target, ago)
         self.registry._heartbeats._leader_since = ago
@@ -213,10 +213,10 @@
             ("DELETE", path, ()),
             ("DELETE", path, ()),
         )
-        for method, target, held in steps:
+        for method, target, evacuated in steps:
             self.assertEqual((await self.call(method, target))[0], 200)
             names = self.node.state.evacuations.list_for_entries().data_centres
-            self.assertEqual(names, held)
+            self.assertEqual(names, evacuated)
         self.assertEqual((await self.call("GET", path))[0], 404)
 
     async def test_an_unknown_data_centre_is_not_evacuated(self) -> None:
