--- a/packages/damsonlaned/src/damsonlaned/entry/_callers.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_caller_application.py
@@ -20,7 +20,7 @@
 from damsonlaned.clock import read_clock
 from damsonlaned.entry._problems import Problem, describe_refusal
 from damsonlaned.entry._rendering import render_answer, render_event, render_last_event
-from damsonlaned.entry._request_reader import (
+from damsonlaned.entry._request_parser import (
     PIPELINES,
     Environment,
     ProblemError,
@@ -28,7 +28,7 @@
     take_request,
 )
 from damsonlaned.entry._request_runner import RequestRunner, describe_held
-from damsonlaned.entry._view import SettingsView
+from damsonlaned.entry._settings_view import SettingsView
 from damsonlaned.metrics import Metrics
 from damsonlaned.quarantine import find_retry_seconds
 
--- a/packages/damsonlaned/src/damsonlaned/entry/_uplink.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_control_link.py
@@ -7,13 +7,13 @@
 from damsonlane.ledger import Holder
 from damsonlane.settings import BoxSettings
 from damsonlane_rpc import ControlClient
-from damsonlaned.entry._accounts import Accounts
-from damsonlaned.entry._job_link import JobLink
-from damsonlaned.entry._leaving import LeavingTargets
-from damsonlaned.entry._settings_link import SettingsLink
-from damsonlaned.entry._thread_permits import ThreadPermits
-from damsonlaned.entry._thread_quarantine import ThreadQuarantine
-from damsonlaned.entry._view import SettingsView
+from damsonlaned.entry._draining_targets import LeavingTargets
+from damsonlaned.entry._job_client import JobLink
+from damsonlaned.entry._permit_client import ThreadPermits
+from damsonlaned.entry._settings_follower import SettingsLink
+from damsonlaned.entry._settings_view import SettingsView
+from damsonlaned.entry._thread_safe_quarantine import ThreadQuarantine
+from damsonlaned.entry._usage_reporter import Accounts
 from damsonlaned.quarantine import Quarantine, QuarantineClient
 
 
--- a/packages/damsonlaned/src/damsonlaned/entry/_dispatch.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_dispatcher.py
@@ -13,11 +13,11 @@
 from damsonlane.requests import AttemptResult, Request, Send
 from damsonlane.routing import Choice, Health, LoadReport, Origin, Standing, TargetBook
 from damsonlaned.clock import read_clock
-from damsonlaned.entry._leaving import LeavingTargets
-from damsonlaned.entry._limited_targets import LimitedTargets, NoPermits
-from damsonlaned.entry._resting import RestingTargets
-from damsonlaned.entry._thread_quarantine import ThreadQuarantine
-from damsonlaned.entry._view import SettingsInForce
+from damsonlaned.entry._draining_targets import LeavingTargets
+from damsonlaned.entry._rate_limited_targets import LimitedTargets, NoPermits
+from damsonlaned.entry._settings_view import SettingsInForce
+from damsonlaned.entry._target_backoff import RestingTargets
+from damsonlaned.entry._thread_safe_quarantine import ThreadQuarantine
 from damsonlaned.quarantine import LostTarget
 from damsonlaned.targets import KINDS, Connections, TargetCall, TargetNotice, TargetReply
 
--- a/packages/damsonlaned/src/damsonlaned/entry/_node.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_node.py
@@ -6,15 +6,15 @@
 
 from damsonlane.settings import BoxSettings
 from damsonlaned.admin import Admin
-from damsonlaned.entry._callers import CallerApplication
-from damsonlaned.entry._dispatch import Dispatch
-from damsonlaned.entry._leaving import LeavingTargets
-from damsonlaned.entry._limited_targets import LimitedTargets
-from damsonlaned.entry._peers import PeerService
-from damsonlaned.entry._platform import PlatformWatch
+from damsonlaned.entry._caller_application import CallerApplication
+from damsonlaned.entry._control_link import Uplink
+from damsonlaned.entry._dispatcher import Dispatch
+from damsonlaned.entry._draining_targets import LeavingTargets
+from damsonlaned.entry._peer_service import PeerService
+from damsonlaned.entry._platform_list import PlatformWatch
+from damsonlaned.entry._rate_limited_targets import LimitedTargets
 from damsonlaned.entry._request_runner import RequestRunner
-from damsonlaned.entry._uplink import Uplink
-from damsonlaned.entry._view import SettingsView
+from damsonlaned.entry._settings_view import SettingsView
 from damsonlaned.metrics import Metrics
 from damsonlaned.servers import HttpServer
 
--- a/packages/damsonlaned/src/damsonlaned/entry/_peers.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_peer_service.py
@@ -5,8 +5,8 @@
 from grpclib.server import Stream
 
 from damsonlane_rpc import COMPARE, PeerReply, PeerRequest, Service, WatchUpdate
-from damsonlaned.entry._leaving import LeavingTargets
-from damsonlaned.entry._view import SettingsView
+from damsonlaned.entry._draining_targets import LeavingTargets
+from damsonlaned.entry._settings_view import SettingsView
 
 
 class PeerService:
--- a/packages/damsonlaned/src/damsonlaned/entry/_platform.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_platform_list.py
@@ -12,8 +12,8 @@
 from pydantic import TypeAdapter, ValidationError
 
 from damsonlane.settings import BoxSettings
-from damsonlaned.entry._leaving import LeavingTargets
-from damsonlaned.entry._view import SettingsView
+from damsonlaned.entry._draining_targets import LeavingTargets
+from damsonlaned.entry._settings_view import SettingsView
 
 _LOG: Final = logging.getLogger(__name__)
 
--- a/packages/damsonlaned/src/damsonlaned/entry/_request_reader.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_request_parser.py
@@ -16,7 +16,7 @@
 from damsonlane.requests import Request, Run, StagePlan
 from damsonlane.settings import EffectivePolicy, Pipeline, Tree
 from damsonlaned.entry._problems import Problem
-from damsonlaned.entry._view import SettingsInForce
+from damsonlaned.entry._settings_view import SettingsInForce
 
 #: First part of the path of every pipeline.
 PIPELINES: Final = "/v1/pipelines/"
--- a/packages/damsonlaned/src/damsonlaned/entry/_request_runner.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_request_runner.py
@@ -25,9 +25,9 @@
     Wait,
 )
 from damsonlaned.clock import read_clock
-from damsonlaned.entry._dispatch import Dispatch
-from damsonlaned.entry._request_reader import TakenRequest
-from damsonlaned.entry._uplink import Uplink
+from damsonlaned.entry._control_link import Uplink
+from damsonlaned.entry._dispatcher import Dispatch
+from damsonlaned.entry._request_parser import TakenRequest
 
 _LOG: Final = logging.getLogger(__name__)
 
--- a/packages/damsonlaned/src/damsonlaned/entry/_settings_link.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_settings_follower.py
@@ -28,8 +28,8 @@
     open_channel,
 )
 from damsonlane_rpc import SettingsView as SettingsReply
-from damsonlaned.entry._leaving import LeavingTargets
-from damsonlaned.entry._view import SettingsView
+from damsonlaned.entry._draining_targets import LeavingTargets
+from damsonlaned.entry._settings_view import SettingsView
 from damsonlaned.quarantine import KnownQuarantine
 
 _LOG: Final = logging.getLogger(__name__)
--- a/packages/damsonlaned/src/damsonlaned/entry/tests/test_dispatch.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/tests/test_dispatcher.py
@@ -8,9 +8,9 @@
 
 from damsonlane.requests import AttemptKey, AttemptResult, Request, Send, StagePlan
 from damsonlane.settings import Tree, check_tree
-from damsonlaned.entry._dispatch import Dispatch
-from damsonlaned.entry._leaving import LeavingTargets
-from damsonlaned.entry._view import SettingsInForce
+from damsonlaned.entry._dispatcher import Dispatch
+from damsonlaned.entry._draining_targets import LeavingTargets
+from damsonlaned.entry._settings_view import SettingsInForce
 from damsonlaned.targets import KINDS, Connections, Pool, TargetCall, TargetNotice, TargetReply
 
 _STAGE = StagePlan(name="encode", service="encode", attempts=1, routing="paced")
--- a/packages/damsonlaned/src/damsonlaned/entry/tests/test_rate_limits.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/tests/test_rate_limits.py
@@ -21,10 +21,10 @@
 from damsonlane.requests import AttemptResult
 from damsonlane.settings import Tree, check_tree
 from damsonlane_rpc import PermitRequest
-from damsonlaned.entry._dispatch import Dispatch
-from damsonlaned.entry._leaving import LeavingTargets
-from damsonlaned.entry._limited_targets import LimitedTargets
-from damsonlaned.entry._view import SettingsInForce
+from damsonlaned.entry._dispatcher import Dispatch
+from damsonlaned.entry._draining_targets import LeavingTargets
+from damsonlaned.entry._rate_limited_targets import LimitedTargets
+from damsonlaned.entry._settings_view import SettingsInForce
 from damsonlaned.entry.tests.test_backoff import REQUEST, SEND, StandIn, run
 
 #: Boxes before the same targets.
--- a/packages/damsonlaned/src/damsonlaned/entry/tests/test_view.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/tests/test_settings_view.py
@@ -5,7 +5,7 @@
 from damsonlane.cluster import AcceptedChange
 from damsonlane.errors import NotUnderstoodError
 from damsonlane.settings import Edit
-from damsonlaned.entry._view import SettingsView
+from damsonlaned.entry._settings_view import SettingsView
 
 
 def _change(version: int, value: object = 2) -> AcceptedChange:
--- a/packages/damsonlaned/src/damsonlaned/entry/tests/test_thread_quarantine.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/tests/test_thread_safe_quarantine.py
@@ -5,7 +5,7 @@
 from unittest import mock
 
 from damsonlane.quarantine import BrokenRun
-from damsonlaned.entry._thread_quarantine import ThreadQuarantine
+from damsonlaned.entry._thread_safe_quarantine import ThreadQuarantine
 from damsonlaned.quarantine import LostTarget, Quarantine
 
 PATIENCE = 20.0
--- a/packages/damsonlaned/src/damsonlaned/http/__init__.py
+++ b/packages/damsonlaned/src/damsonlaned/http/__init__.py
@@ -3,8 +3,9 @@
 docs/gateway.md says why the threads of cheroot and urllib3 did not fit here.
 """
 
-from damsonlaned.http._client import ConnectionPool, SentExchange
+from damsonlaned.http._connection_pool import ConnectionPool, SentExchange
 from damsonlaned.http._errors import BrokenAnswerError, CallerGoneError, NotSentError
+from damsonlaned.http._listener import ListenerLimits, WebListener
 from damsonlaned.http._messages import (
     HeaderList,
     HttpHead,
@@ -13,9 +14,8 @@
     keep_end_to_end,
 )
 from damsonlaned.http._rate_limit import read_rate_limit
-from damsonlaned.http._reply import Reply
+from damsonlaned.http._response_writer import Reply
 from damsonlaned.http._retry_after import read_retry_after
-from damsonlaned.http._server import ListenerLimits, WebListener
 
 __all__ = [
     "BrokenAnswerError",
--- a/packages/damsonlaned/src/damsonlaned/http/_client.py
+++ b/packages/damsonlaned/src/damsonlaned/http/_connection_pool.py
@@ -6,10 +6,10 @@
 from typing import Final
 
 from damsonlane_rpc import Endpoint
-from damsonlaned.http._connection import AnswerBody, TargetConnection
 from damsonlaned.http._errors import NotSentError
 from damsonlaned.http._messages import HttpHead, HttpRequest
-from damsonlaned.http._wire import Wire
+from damsonlaned.http._target_connection import AnswerBody, TargetConnection
+from damsonlaned.http._tcp_stream import Wire
 
 #: Milliseconds after which bytes that a target does not take count as lost.
 _SILENCE_MS: Final = 2_000
--- a/packages/damsonlaned/src/damsonlaned/http/_server.py
+++ b/packages/damsonlaned/src/damsonlaned/http/_listener.py
@@ -14,8 +14,8 @@
 from damsonlane_rpc import Endpoint
 from damsonlaned.http._errors import CallerGoneError
 from damsonlaned.http._messages import HttpRequest, HttpResponse
-from damsonlaned.http._reply import Reply
-from damsonlaned.http._wire import Wire
+from damsonlaned.http._response_writer import Reply
+from damsonlaned.http._tcp_stream import Wire
 
 _LOG: Final = logging.getLogger(__name__)
 
--- a/packages/damsonlaned/src/damsonlaned/http/_reply.py
+++ b/packages/damsonlaned/src/damsonlaned/http/_response_writer.py
@@ -7,7 +7,7 @@
 
 from damsonlaned.http._errors import CallerGoneError
 from damsonlaned.http._messages import HeaderList, HttpHead, HttpResponse, keep_end_to_end
-from damsonlaned.http._wire import Wire
+from damsonlaned.http._tcp_stream import Wire
 
 
 class Reply:
--- a/packages/damsonlaned/src/damsonlaned/http/_connection.py
+++ b/packages/damsonlaned/src/damsonlaned/http/_target_connection.py
@@ -7,7 +7,7 @@
 
 from damsonlaned.http._errors import BrokenAnswerError
 from damsonlaned.http._messages import HttpHead, HttpRequest
-from damsonlaned.http._wire import Wire
+from damsonlaned.http._tcp_stream import Wire
 
 #: Largest head of an answer, in bytes.
 _ANSWER_HEAD_BYTES: Final = 64 * 1024
--- a/packages/damsonlaned/src/damsonlaned/http/tests/test_server.py
+++ b/packages/damsonlaned/src/damsonlaned/http/tests/test_listener.py
@@ -187,7 +187,7 @@
 
         listener = await self.start(fail)
         reader, writer = await self.connect(listener)
-        with self.assertLogs("damsonlaned.http._server", "ERROR"):
+        with self.assertLogs("damsonlaned.http._listener", "ERROR"):
             writer.write(GET)
             async with asyncio.timeout(PATIENCE):
                 try:
