--- a/packages/damsonlaned/src/damsonlaned/entry/__init__.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/__init__.py
@@ -1,4 +1,4 @@
-"""The entry role: between callers and targets."""
+"""The entry role: accepts requests from callers and sends them to targets."""
 
 from damsonlaned.entry._node import EntryNode
 
--- a/packages/damsonlaned/src/damsonlaned/entry/_caller_application.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_caller_application.py
@@ -21,33 +21,33 @@
 from damsonlaned.entry._problems import Problem, describe_refusal
 from damsonlaned.entry._rendering import render_answer, render_event, render_last_event
 from damsonlaned.entry._request_parser import (
-    PIPELINES,
+    PIPELINE_PATH_PREFIX,
     Environment,
+    ParsedRequest,
     ProblemError,
-    TakenRequest,
-    take_request,
+    parse_request,
 )
-from damsonlaned.entry._request_runner import RequestRunner, describe_held
+from damsonlaned.entry._request_runner import RequestRunner, describe_quarantined
 from damsonlaned.entry._settings_view import SettingsView
 from damsonlaned.metrics import Metrics
 from damsonlaned.quarantine import find_retry_seconds
 
 _LOG: Final = logging.getLogger(__name__)
 
-#: Seconds after which a caller that met a full lane may come back.
-FULL_RETRY_SECONDS: Final = 1.0
+#: Least Retry-After of a request that is refused, in seconds.
+MIN_RETRY_AFTER_SECONDS: Final = 1.0
 
 StartResponse = Callable[[str, list[tuple[str, str]]], Any]
 
 
 class CallerApplication:
-    """Answers callers, one thread each.
+    """Answers callers, each in a thread of its own.
 
     Args:
         settings: settings of the box.
         view: the settings tree in force.
         runner: runs requests.
-        metrics: counts endings.
+        metrics: metrics of completed requests.
     """
 
     def __init__(
@@ -58,42 +58,42 @@
         self._runner: Final = runner
         self._metrics: Final = metrics
         self._limits_in_flight: Final = InFlightLimits()
-        self._gate_lock: Final = threading.Lock()
+        self._lock: Final = threading.Lock()
         self.is_draining = False
 
     def __call__(self, environment: Environment, start: StartResponse) -> Iterable[bytes]:
         """Answer one request."""
         arrived_at = read_clock()
         path = str(environment["PATH_INFO"])
-        if not path.startswith(PIPELINES):
+        if not path.startswith(PIPELINE_PATH_PREFIX):
             return self._answer_plain(path, start)
         try:
-            taken = self._take(environment, arrived_at)
-            self._enter(taken)
+            parsed = self._parse(environment, arrived_at)
+            self._admit(parsed)
         except ProblemError as error:
             return self._answer_problem(error.problem, start)
-        return self._serve(taken, start, arrived_at)
+        return self._serve(parsed, start, arrived_at)
 
     def in_flight(self) -> int:
-        """Return the requests inside."""
-        with self._gate_lock:
+        """Return the number of requests in progress."""
+        with self._lock:
             return self._limits_in_flight.in_flight()
 
     def is_ready(self) -> bool:
-        """Tell whether a balancer should send requests here."""
+        """Return whether a load balancer should send requests here."""
         return self._view.is_confirmed and not self.is_draining
 
-    def _take(self, environment: Environment, arrived_at: float) -> TakenRequest:
+    def _parse(self, environment: Environment, arrived_at: float) -> ParsedRequest:
         if not self._view.is_confirmed:
             detail = "no settings are confirmed here yet"
             problem = Problem(
                 name="not-ready",
                 status=HTTPStatus.SERVICE_UNAVAILABLE,
                 detail=detail,
-                retry_after=FULL_RETRY_SECONDS,
+                retry_after=MIN_RETRY_AFTER_SECONDS,
             )
             raise ProblemError(problem)
-        return take_request(
+        return parse_request(
             environment,
             self._view.current,
             data_centre=self._settings.data_centre,
@@ -102,91 +102,93 @@
             live_entries=self._runner.live_entries(),
         )
 
-    def _enter(self, taken: TakenRequest) -> None:
-        """Let a request in, or refuse it at once.
+    def _admit(self, parsed: ParsedRequest) -> None:
+        """Admit a request, or refuse it at once.
 
         Raises:
-            ProblemError: it is held, its lane is full or its deadline can't be met.
+            ProblemError: it is quarantined, its lane is full or its deadline cannot be met.
         """
-        held = self._runner.find_held(taken)
-        if held is not None:
-            self._refuse(taken, "held", describe_held(held), find_retry_seconds(held))
-        request = taken.request
+        quarantined = self._runner.find_quarantined(parsed)
+        if quarantined is not None:
+            self._refuse(
+                parsed, "held", describe_quarantined(quarantined), find_retry_seconds(quarantined)
+            )
+        request = parsed.request
         remaining = request.due_at - read_clock()
         allowed = ADMISSION_SHARE * remaining
-        needed = self._runner.forecast(taken)
+        needed = self._runner.forecast(parsed)
         if 0 < allowed < needed:
             detail = f"the stages need about {needed:.2f} s of the {remaining:.2f} s left"
-            self._refuse(taken, "deadline", detail, needed - allowed)
-        with self._gate_lock:
-            is_inside = self._limits_in_flight.try_enter(taken.entrant, read_clock())
-        if not is_inside:
-            self._refuse(taken, "overloaded", f"lane '{taken.entrant.lane}' is full")
+            self._refuse(parsed, "deadline", detail, needed - allowed)
+        with self._lock:
+            is_admitted = self._limits_in_flight.try_enter(parsed.entrant, read_clock())
+        if not is_admitted:
+            self._refuse(parsed, "overloaded", f"lane '{parsed.entrant.lane}' is full")
 
     def _refuse(
-        self, taken: TakenRequest, reason: Reason, detail: str, retry_after: float = 0.0
+        self, parsed: ParsedRequest, reason: Reason, detail: str, retry_after: float = 0.0
     ) -> NoReturn:
         refusal = Refusal(
-            request=taken.request.request,
+            request=parsed.request.request,
             reason=reason,
             detail=detail,
-            run=taken.run_if_refused(),
-            retry_after=max(FULL_RETRY_SECONDS, retry_after),
+            run=parsed.run_if_refused(),
+            retry_after=max(MIN_RETRY_AFTER_SECONDS, retry_after),
         )
-        self._count(taken, refusal, 0.0)
+        self._count(parsed, refusal, 0.0)
         raise ProblemError(describe_refusal(refusal))
 
-    def _leave(self, taken: TakenRequest) -> None:
-        with self._gate_lock:
-            self._limits_in_flight.leave(taken.entrant)
+    def _release(self, parsed: ParsedRequest) -> None:
+        with self._lock:
+            self._limits_in_flight.leave(parsed.entrant)
 
     def _serve(
-        self, taken: TakenRequest, start: StartResponse, arrived_at: float
+        self, parsed: ParsedRequest, start: StartResponse, arrived_at: float
     ) -> Iterable[bytes]:
-        run = self._runner.run(taken)
+        run = self._runner.run(parsed)
         try:
             first = _advance(run)
         except BaseException:
-            self._leave(taken)
+            self._release(parsed)
             raise
         if isinstance(first, Billed):
-            self._leave(taken)
-            self._count(taken, first.ending, read_clock() - arrived_at)
-            if taken.is_streaming and not isinstance(first.ending, Refusal):
-                return self._answer_whole_stream(first.ending, start)
-            return self._answer_ending(first.ending, start)
+            self._release(parsed)
+            self._count(parsed, first.ending, read_clock() - arrived_at)
+            if parsed.is_streaming and not isinstance(first.ending, Refusal):
+                return self._answer_complete_stream(first.ending, start)
+            return self._answer_outcome(first.ending, start)
         start("200 OK", self._headers([("Content-Type", "text/event-stream")]))
-        return self._stream(taken, run, first, arrived_at)
+        return self._stream(parsed, run, first, arrived_at)
 
     def _stream(
         self,
-        taken: TakenRequest,
+        parsed: ParsedRequest,
         run: Generator[str, None, Billed],
-        piece: "str | Billed",
+        part: "str | Billed",
         arrived_at: float,
     ) -> Iterator[bytes]:
-        """Yield events; the caller's connection closes the generator when it breaks."""
+        """Yield events; the server closes the generator if the caller's connection breaks."""
         try:
-            while isinstance(piece, str):
-                yield render_event("token", {"text": piece})
-                piece = _advance(run)
-            self._count(taken, piece.ending, read_clock() - arrived_at)
-            yield render_last_event(piece.ending)
+            while isinstance(part, str):
+                yield render_event("token", {"text": part})
+                part = _advance(run)
+            self._count(parsed, part.ending, read_clock() - arrived_at)
+            yield render_last_event(part.ending)
         finally:
             run.close()
-            self._leave(taken)
+            self._release(parsed)
 
-    def _answer_whole_stream(self, ending: Ending, start: StartResponse) -> Iterable[bytes]:
-        """Answer a caller that wants a stream with an answer that is there at once."""
+    def _answer_complete_stream(self, outcome: Ending, start: StartResponse) -> Iterable[bytes]:
+        """Send an answer that is already complete as a stream."""
         start("200 OK", self._headers([("Content-Type", "text/event-stream")]))
-        answer = decode_answer(ending.answer) if isinstance(ending, Repeat) else ending
+        answer = decode_answer(outcome.answer) if isinstance(outcome, Repeat) else outcome
         text = answer.output if isinstance(answer, Answer) else ""
-        return [render_event("token", {"text": text}), render_last_event(ending)]
+        return [render_event("token", {"text": text}), render_last_event(outcome)]
 
-    def _answer_ending(self, ending: Ending, start: StartResponse) -> Iterable[bytes]:
-        if isinstance(ending, Refusal):
-            return self._answer_problem(describe_refusal(ending), start)
-        body = render_answer(ending)
+    def _answer_outcome(self, outcome: Ending, start: StartResponse) -> Iterable[bytes]:
+        if isinstance(outcome, Refusal):
+            return self._answer_problem(describe_refusal(outcome), start)
+        body = render_answer(outcome)
         headers = [("Content-Type", "application/json"), ("Content-Length", str(len(body)))]
         start("200 OK", self._headers(headers))
         return [body]
@@ -195,7 +197,7 @@
         body = problem.body()
         headers = [*problem.headers(), ("Content-Length", str(len(body)))]
         if problem.status in (HTTPStatus.REQUEST_ENTITY_TOO_LARGE, HTTPStatus.LENGTH_REQUIRED):
-            # The body was not read, so the connection can't be used again.
+            # The body was not read, so the connection cannot be used again.
             headers.append(("Connection", "close"))
         start(f"{int(problem.status)} {problem.status.phrase}", self._headers(headers))
         return [body]
@@ -205,26 +207,27 @@
             return _answer_text("200 OK", "ok\n", start)
         if path == "/readyz":
             return _answer_text("503 Service Unavailable", "not ready\n", start)
-        detail = f"pipelines are below {PIPELINES}"
+        detail = f"pipelines are below {PIPELINE_PATH_PREFIX}"
         problem = Problem(name="unknown-path", status=HTTPStatus.NOT_FOUND, detail=detail)
         return self._answer_problem(problem, start)
 
     def _headers(self, headers: list[tuple[str, str]]) -> list[tuple[str, str]]:
-        """Ask callers to go elsewhere once this box is leaving."""
+        """Add ``Connection: close`` while this box drains, so that callers connect elsewhere."""
         if self.is_draining and ("Connection", "close") not in headers:
             return [*headers, ("Connection", "close")]
         return headers
 
-    def _count(self, taken: TakenRequest, ending: Ending, seconds: float) -> None:
-        self._runner.count_ending(taken, ending)
-        request = taken.request
-        outcome = ending.reason if isinstance(ending, Refusal) else "answered"
+    def _count(self, parsed: ParsedRequest, outcome: Ending, seconds: float) -> None:
+        """Count and log a completed request."""
+        self._runner.count_completion(parsed, outcome)
+        request = parsed.request
+        outcome_name = outcome.reason if isinstance(outcome, Refusal) else "answered"
         labels = {
             "organisation": request.organisation,
             "pipeline": request.pipeline,
-            "outcome": outcome,
+            "outcome": outcome_name,
         }
-        with self._gate_lock:
+        with self._lock:
             self._metrics.requests.inc(labels)
             self._metrics.seconds.observe({"pipeline": request.pipeline}, seconds)
         _LOG.info(
@@ -233,20 +236,20 @@
                 "request": request.request,
                 "organisation": request.organisation,
                 "pipeline": request.pipeline,
-                "outcome": outcome,
-                "run": ending.run if isinstance(ending, Refusal) else "yes",
+                "outcome": outcome_name,
+                "run": outcome.run if isinstance(outcome, Refusal) else "yes",
                 "seconds": round(seconds, 6),
             },
         )
 
 
 def _advance(run: Generator[str, None, Billed]) -> str | Billed:
-    """Return the next piece, or the ending once there are no more."""
+    """Return the next part of the output, or the outcome when there are no more."""
     try:
         return next(run)
     except StopIteration as stop:
-        ending: Billed = stop.value
-        return ending
+        billed: Billed = stop.value
+        return billed
 
 
 def _answer_text(status: str, text: str, start: StartResponse) -> Iterable[bytes]:
--- a/packages/damsonlaned/src/damsonlaned/entry/_control_link.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_control_link.py
@@ -1,4 +1,4 @@
-"""The entry's side of control, on one asyncio loop."""
+"""What an entry sends to control and receives from it, on one event loop."""
 
 import secrets
 import ssl
@@ -7,23 +7,23 @@
 from damsonlane.ledger import Holder
 from damsonlane.settings import BoxSettings
 from damsonlane_rpc import ControlClient
-from damsonlaned.entry._draining_targets import LeavingTargets
-from damsonlaned.entry._job_client import JobLink
-from damsonlaned.entry._permit_client import ThreadPermits
-from damsonlaned.entry._settings_follower import SettingsLink
+from damsonlaned.entry._draining_targets import DrainingTargets
+from damsonlaned.entry._job_client import JobClient
+from damsonlaned.entry._permit_client import PermitClient
+from damsonlaned.entry._settings_follower import SettingsFollower
 from damsonlaned.entry._settings_view import SettingsView
-from damsonlaned.entry._thread_safe_quarantine import ThreadQuarantine
-from damsonlaned.entry._usage_reporter import Accounts
+from damsonlaned.entry._thread_safe_quarantine import ThreadSafeQuarantine
+from damsonlaned.entry._usage_reporter import UsageReporter
 from damsonlaned.quarantine import Quarantine, QuarantineClient
 
 
-class Uplink:
-    """Settings, jobs and accounts, over one client of control.
+class ControlLink:
+    """Bundles what an entry exchanges with control, over one client.
 
     Args:
         settings: settings of the box.
         view: where newer settings are put in force.
-        leaving: targets that are known to be leaving.
+        draining: targets that are known to be draining.
         context: TLS context towards other boxes, or None.
     """
 
@@ -31,36 +31,36 @@
         self,
         settings: BoxSettings,
         view: SettingsView,
-        leaving: LeavingTargets,
+        draining: DrainingTargets,
         context: ssl.SSLContext | None,
     ) -> None:
-        #: This process, as claims and reports name it.
+        #: This process, as claims and reports identify it.
         self.holder: Final = Holder(box=settings.name, incarnation=secrets.token_hex(6))
         self._client: Final = ControlClient(settings.control, context=context)
-        self.jobs: Final = JobLink(self._client)
-        self.accounts: Final = Accounts(
+        self.jobs: Final = JobClient(self._client)
+        self.usage: Final = UsageReporter(
             self._client, f"{self.holder.box}.{self.holder.incarnation}"
         )
-        self.settings: Final = SettingsLink(
-            settings, self.holder, self._client, view, leaving, context
+        self.settings: Final = SettingsFollower(
+            settings, self.holder, self._client, view, draining, context
         )
 
-        #: Keeps requests that end targets from them.
-        self.quarantine: Final = ThreadQuarantine(
+        #: Quarantine of requests under which targets exited.
+        self.quarantine: Final = ThreadSafeQuarantine(
             Quarantine(self.settings.quarantine, QuarantineClient(self._client).submit)
         )
 
-        #: Asks control for permits to send to limited targets.
-        self.permits: Final = ThreadPermits(self._client)
+        #: Requests permits for rate-limited targets.
+        self.permits: Final = PermitClient(self._client)
 
     def start(self) -> None:
         """Start following control."""
         self.settings.start()
-        self.accounts.start()
+        self.usage.start()
 
     async def stop(self) -> None:
-        """Hand over what is left and stop."""
+        """Send what is left and stop."""
         await self.quarantine.stop()
-        await self.accounts.stop()
+        await self.usage.stop()
         await self.settings.stop()
         self._client.close()
--- a/packages/damsonlaned/src/damsonlaned/entry/_dispatcher.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_dispatcher.py
@@ -1,4 +1,4 @@
-"""Sending attempts to targets, with what this entry knows of them."""
+"""Choose targets and send attempts to them."""
 
 import random
 import threading
@@ -13,85 +13,85 @@
 from damsonlane.requests import AttemptResult, Request, Send
 from damsonlane.routing import Choice, Health, LoadReport, Origin, Standing, TargetBook
 from damsonlaned.clock import read_clock
-from damsonlaned.entry._draining_targets import LeavingTargets
-from damsonlaned.entry._rate_limited_targets import LimitedTargets, NoPermits
+from damsonlaned.entry._draining_targets import DrainingTargets
+from damsonlaned.entry._rate_limited_targets import NoPermitSource, RateLimitedTargets
 from damsonlaned.entry._settings_view import SettingsInForce
-from damsonlaned.entry._target_backoff import RestingTargets
-from damsonlaned.entry._thread_safe_quarantine import ThreadQuarantine
+from damsonlaned.entry._target_backoff import TargetBackoff
+from damsonlaned.entry._thread_safe_quarantine import ThreadSafeQuarantine
 from damsonlaned.quarantine import LostTarget
 from damsonlaned.targets import KINDS, Connections, TargetCall, TargetNotice, TargetReply
 
 
-class Dispatch:
-    """Chooses targets and calls them; safe for many threads.
+class Dispatcher:
+    """Chooses targets and calls them; safe for use by many threads.
 
-    The lock covers choices and counts only, never a call.
+    The lock is held to choose a target and to record an outcome, never during a call.
 
     Args:
         data_centre: data centre of this entry.
-        leaving: targets that get nothing new.
-        quarantine: told of targets under which attempts broke off.
+        draining: targets that get no new requests, since they are draining.
+        quarantine: receives the attempts whose connection broke.
         count_entries: returns how many entries send to the targets.
-        limits: targets that named rate limits; without it this box keeps them alone.
+        limits: rate limits of targets; without it, targets that announce one get nothing more.
     """
 
     def __init__(
         self,
         data_centre: str,
-        leaving: LeavingTargets,
-        quarantine: ThreadQuarantine,
+        draining: DrainingTargets,
+        quarantine: ThreadSafeQuarantine,
         count_entries: Callable[[], int] = lambda: 1,
-        limits: LimitedTargets | None = None,
+        limits: RateLimitedTargets | None = None,
     ) -> None:
-        self._limits: Final = limits or LimitedTargets(NoPermits())
+        self._limits: Final = limits or RateLimitedTargets(NoPermitSource())
         self._count_entries: Final = count_entries
         self._quarantine: Final = quarantine
         self._data_centre: Final = data_centre
-        self._leaving: Final = leaving
-        self._resting: Final = RestingTargets()
+        self._draining: Final = draining
+        self._backoff: Final = TargetBackoff()
         self._connections: Final = Connections()
-        self._books: dict[str, TargetBook] = {}
+        self._tables: dict[str, TargetBook] = {}
         self._meters: dict[str, ServiceMeter] = {}
         self._version = 0
         self._lock: Final = threading.Lock()
         self._randomness: Final = random.Random()
 
     def forecast(self, request: Request, settings: SettingsInForce, first: int = 0) -> float:
-        """Return the predicted seconds of a request's stages from the ``first`` on."""
+        """Return the predicted seconds of the stages of a request from index ``first`` on."""
         now = read_clock()
         total = 0.0
         with self._lock:
-            self._follow(settings)
+            self._apply_settings(settings)
             for stage in request.stages[first:]:
                 work = Work(
                     organisation=request.organisation,
                     pipeline=request.pipeline,
                     stage=stage.name,
                 )
-                # A stage whose targets all want nothing for now begins when one returns.
-                total = max(total, self._find_return_seconds(stage.service))
+                # A stage without an available target begins when one becomes available.
+                total = max(total, self._find_wait_seconds(stage.service))
                 total += self._meters[stage.service].predict(work, now)
         return total
 
     def send(
         self, send: Send, settings: SettingsInForce, pipeline: str, fingerprint: str
     ) -> Generator[str, None, tuple[str, AttemptResult]]:
-        """Make one attempt, yielding output as it comes.
+        """Make one attempt, yielding output as it arrives.
 
         Args:
             send: the attempt.
-            settings: those under which its request was taken.
+            settings: the settings that apply to its request.
             pipeline: name of its pipeline.
             fingerprint: fingerprint of its request.
 
         Returns:
-            Name of the target, empty if there was none, and the result.
+            The name of the target, empty if none was available, and the result.
         """
         choice = self._choose(send, settings)
         if isinstance(choice, _NoTarget):
             fault = f"service '{send.stage.service}' has no target that may be used"
             return "", AttemptResult(
-                answers=None, outcome="unsent", fault=fault, retry_after=choice.return_seconds
+                answers=None, outcome="unsent", fault=fault, retry_after=choice.retry_after
             )
         with self._lock:
             self._meters[send.stage.service].begin()
@@ -106,18 +106,18 @@
         )
         reply: TargetReply | None = None
         try:
-            take = partial(self._take_notice, send.stage.service, choice)
-            reply = yield from KINDS[service.kind].call(self._connections, call, take)
+            on_notice = partial(self._record_notice, send.stage.service, choice)
+            reply = yield from KINDS[service.kind].call(self._connections, call, on_notice)
         finally:
-            # A caller that hangs up closes the generator: the target is not to blame.
+            # A caller that disconnects closes the generator; the target did not fail then.
             self._finish(send, choice, pipeline, reply, began_at)
         if reply.is_broken:
             run = BrokenRun(fingerprint=fingerprint, seconds=read_clock() - began_at)
-            self._quarantine.note_broken(_name_lost(send, choice), run)
+            self._quarantine.report_interrupted(_make_lost_target(send, choice), run)
         result = reply.result
         if result.outcome == "refused":
             with self._lock:
-                result = replace(result, retry_after=self._find_return_seconds(send.stage.service))
+                result = replace(result, retry_after=self._find_wait_seconds(send.stage.service))
         return choice.target, result
 
     def close(self) -> None:
@@ -125,88 +125,94 @@
         self._connections.close()
 
     def _choose(self, send: Send, settings: SettingsInForce) -> "Choice | _NoTarget":
-        """Choose a target, with a permit where it named a rate limit."""
+        """Choose a target, with a permit if it has a rate limit."""
         service = send.stage.service
         with self._lock:
-            self._follow(settings)
-            limited = self._list_limited(service)
-            are_all_limited = bool(limited) and self._list_open(service) <= limited.keys()
-            at_rate = set() if are_all_limited else self._limits.list_at_rate(limited)
-            choice = self._choose_free(send, at_rate)
+            self._apply_settings(settings)
+            rate_limited = self._list_rate_limited(service)
+            are_all_limited = (
+                bool(rate_limited) and self._list_available(service) <= rate_limited.keys()
+            )
+            exhausted = set() if are_all_limited else self._limits.list_exhausted(rate_limited)
+            choice = self._choose_except(send, exhausted)
             if choice is None:
-                return _NoTarget(return_seconds=self._find_return_seconds(service))
-            if choice.target not in limited:
+                return _NoTarget(retry_after=self._find_wait_seconds(service))
+            if choice.target not in rate_limited:
                 return choice
-            # It gets nothing without a permit.
-            self._books[service].finish(choice.target, "neutral", read_clock())
-        # Control is asked without the lock: other threads go on meanwhile.
-        first = limited.pop(choice.target)
-        others = [named for name, named in limited.items() if name not in {*at_rate, *send.avoid}]
-        permit = self._limits.ask(service, (first, *others), is_last=are_all_limited)
+            # Release it, since it gets no request without a permit.
+            self._tables[service].finish(choice.target, "neutral", read_clock())
+        # The lock is free while control is asked, so that other threads can continue.
+        first = rate_limited.pop(choice.target)
+        others = [
+            incarnation
+            for name, incarnation in rate_limited.items()
+            if name not in {*exhausted, *send.avoid}
+        ]
+        permit = self._limits.request_permit(service, (first, *others), is_last=are_all_limited)
         with self._lock:
             if permit.target:
-                return self._take(send, permit.target) or _NoTarget()
+                return self._assign(send, permit.target) or _NoTarget()
             if are_all_limited:
-                return _NoTarget(return_seconds=permit.return_seconds)
-            free = self._choose_free(send, {choice.target, *limited})
-            return free or _NoTarget(return_seconds=self._find_return_seconds(service))
+                return _NoTarget(retry_after=permit.return_seconds)
+            unlimited = self._choose_except(send, {choice.target, *rate_limited})
+            return unlimited or _NoTarget(retry_after=self._find_wait_seconds(service))
 
-    def _choose_free(self, send: Send, at_rate: Collection[str]) -> Choice | None:
-        """Choose a target that has less than it takes; the lock is held."""
+    def _choose_except(self, send: Send, excluded: Collection[str]) -> Choice | None:
+        """Choose a target that is not excluded; the lock is held."""
         service = send.stage.service
-        return self._books[service].choose(
+        return self._tables[service].choose(
             send.stage.routing,
             Origin(data_centre=self._data_centre, affinity=send.text),
             avoid=send.avoid,
-            leaving=self._list_closed(service) | frozenset(at_rate),
+            leaving=self._list_unavailable(service) | frozenset(excluded),
             now=read_clock(),
             randomness=self._randomness,
         )
 
-    def _take(self, send: Send, name: str) -> Choice | None:
-        """Take the target that a permit names; the lock is held."""
+    def _assign(self, send: Send, name: str) -> Choice | None:
+        """Assign an attempt to the target that a permit names; the lock is held."""
         service = send.stage.service
-        return self._books[service].take(name.removeprefix(f"{service}/"))
+        return self._tables[service].take(name.removeprefix(f"{service}/"))
 
-    def _list_open(self, service: str) -> set[str]:
-        """Return the targets that may get something, their rate limits apart."""
-        return set(self._books[service].standings()) - self._list_closed(service)
+    def _list_available(self, service: str) -> set[str]:
+        """Return the targets that may get requests, rate limits apart."""
+        return set(self._tables[service].standings()) - self._list_unavailable(service)
 
-    def _list_limited(self, service: str) -> dict[str, TargetStart]:
-        """Return the targets that may get something and named a rate limit."""
-        closed = self._list_closed(service)
-        standings = {
-            name: stands
-            for name, stands in self._books[service].standings().items()
-            if name not in closed
+    def _list_rate_limited(self, service: str) -> dict[str, TargetStart]:
+        """Return the targets that may get requests and have a rate limit."""
+        unavailable = self._list_unavailable(service)
+        locations = {
+            name: location
+            for name, location in self._tables[service].standings().items()
+            if name not in unavailable
         }
-        return self._limits.list_limited(service, standings)
+        return self._limits.list_rate_limited(service, locations)
 
-    def _list_closed(self, service: str) -> frozenset[str]:
-        """Return the targets that get nothing now: they leave, or asked for rest."""
-        standings = self._books[service].standings()
-        return self._leaving.of(service) | self._resting.list_resting(service, standings)
+    def _list_unavailable(self, service: str) -> frozenset[str]:
+        """Return the targets that get nothing now, since they are draining or back off."""
+        locations = self._tables[service].standings()
+        return self._draining.find(service) | self._backoff.list_backing_off(service, locations)
 
-    def _find_return_seconds(self, service: str) -> float:
-        """Return how long all targets of a service want nothing; 0 if one takes requests."""
-        standings = self._books[service].standings()
-        leaving = self._leaving.of(service)
-        staying = {name: stands for name, stands in standings.items() if name not in leaving}
-        resting = self._resting.find_return_seconds(service, staying)
-        limited = self._limits.list_limited(service, staying)
-        if limited.keys() != staying.keys():
-            return resting
-        return max(resting, self._limits.find_wait(limited.values()))
+    def _find_wait_seconds(self, service: str) -> float:
+        """Return the seconds until a target of a service becomes available; 0 if one is now."""
+        locations = self._tables[service].standings()
+        draining = self._draining.find(service)
+        serving = {name: location for name, location in locations.items() if name not in draining}
+        backoff_seconds = self._backoff.find_backoff_seconds(service, serving)
+        rate_limited = self._limits.list_rate_limited(service, serving)
+        if rate_limited.keys() != serving.keys():
+            return backoff_seconds
+        return max(backoff_seconds, self._limits.find_wait_seconds(rate_limited.values()))
 
-    def _take_notice(self, service: str, choice: Choice, notice: TargetNotice) -> None:
-        """Take what the head of an answer says of its target."""
+    def _record_notice(self, service: str, choice: Choice, notice: TargetNotice) -> None:
+        """Record what the head of a response announces of its target."""
         if notice.is_leaving:
-            self._leaving.mark(service, choice.target)
+            self._draining.record(service, choice.target)
         if notice.backoff_seconds > 0:
             seconds = notice.backoff_seconds
             boxes = self._count_entries()
-            self._resting.note(service, choice.target, choice.address, seconds, boxes)
-        self._limits.note(
+            self._backoff.record(service, choice.target, choice.address, seconds, boxes)
+        self._limits.record(
             service,
             choice.target,
             choice.address,
@@ -214,54 +220,57 @@
             may_end=notice.has_taken,
         )
 
-    def _follow(self, settings: SettingsInForce) -> None:
-        """Take over the targets of newer settings; a request under older ones changes nothing."""
+    def _apply_settings(self, settings: SettingsInForce) -> None:
+        """Update the targets if the settings are newer; older settings change nothing."""
         if settings.version <= self._version:
             return
         self._version = settings.version
         for name, service in settings.tree.services.items():
-            standings = {
-                target: Standing(address=written.address, data_centre=written.data_centre)
-                for target, written in service.targets.items()
+            locations = {
+                target: Standing(address=entry.address, data_centre=entry.data_centre)
+                for target, entry in service.targets.items()
             }
-            self._books.setdefault(name, TargetBook()).update(standings)
+            self._tables.setdefault(name, TargetBook()).update(locations)
             self._meters.setdefault(name, ServiceMeter())
 
     def _finish(
         self, send: Send, choice: Choice, pipeline: str, reply: TargetReply | None, began_at: float
     ) -> None:
+        """Record the end of an attempt; it was abandoned if there is no reply."""
         now = read_clock()
         report: LoadReport | None = reply.report if reply else None
         with self._lock:
-            book = self._books[send.stage.service]
+            table = self._tables[send.stage.service]
             work = Work(
                 organisation=send.key.organisation, pipeline=pipeline, stage=send.stage.name
             )
             is_answered = reply is not None and reply.result.outcome == "answered"
             seconds = now - began_at if is_answered else None
             pace = self._meters[send.stage.service].finish(work, now, seconds)
-            health = _judge(reply)
-            left = self._resting.seconds_left(send.stage.service, choice.target, choice.address)
-            is_refused = reply is not None and reply.result.outcome == "refused"
-            is_limited = choice.target in self._list_limited(send.stage.service)
-            if health == "bad" and (left > 0 or (is_refused and is_limited)):
-                # It is well and says when it returns, or how much it takes.
+            health = _evaluate_health(reply)
+            backoff_seconds = self._backoff.seconds_left(
+                send.stage.service, choice.target, choice.address
+            )
+            is_rejected = reply is not None and reply.result.outcome == "refused"
+            is_rate_limited = choice.target in self._list_rate_limited(send.stage.service)
+            if health == "bad" and (backoff_seconds > 0 or (is_rejected and is_rate_limited)):
+                # The target is healthy: it announced a back-off or a rate limit.
                 health = "neutral"
-            book.finish(
+            table.finish(
                 choice.target, health, now, pace=pace if is_answered else None, report=report
             )
 
 
 @dataclass(frozen=True, kw_only=True)
 class _NoTarget:
-    """No target may get a request now."""
+    """No target is available now."""
 
-    #: Seconds after which the caller should come back; 0 where that is not known.
-    return_seconds: float = 0.0
+    #: Seconds after which the caller should retry; 0 if not known.
+    retry_after: float = 0.0
 
 
-def _name_lost(send: Send, choice: Choice) -> LostTarget:
-    """Return the target under which an attempt broke off."""
+def _make_lost_target(send: Send, choice: Choice) -> LostTarget:
+    """Return the target whose connection broke under an attempt."""
     return LostTarget(
         target=f"{send.stage.service}/{choice.target}",
         address=choice.address,
@@ -270,7 +279,7 @@
     )
 
 
-def _judge(reply: TargetReply | None) -> Health:
+def _evaluate_health(reply: TargetReply | None) -> Health:
     if reply is None:
         return "neutral"
     return "good" if reply.result.outcome == "answered" else "bad"
--- a/packages/damsonlaned/src/damsonlaned/entry/_draining_targets.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_draining_targets.py
@@ -1,4 +1,4 @@
-"""Targets that are leaving, from whichever source says so first."""
+"""Targets that are draining, as reported by any of several sources."""
 
 import threading
 from collections.abc import Iterable
@@ -7,48 +7,50 @@
 from damsonlane_rpc import LeavingTarget
 from damsonlaned.clock import read_clock
 
-#: Seconds after which word of a leaving target is forgotten, unless it is heard again.
-FORGET_SECONDS: Final = 60.0
+#: Seconds after which a report of a draining target expires unless a source repeats it.
+EXPIRY_SECONDS: Final = 60.0
 
 
-class LeavingTargets:
-    """Leaving targets by service and name; safe for many threads.
+class DrainingTargets:
+    """Draining targets by service and name; safe for use by many threads.
 
-    Sources are the targets' own refusals, the platform's list and other
-    entries.  Word keeps its age as it passes from entry to entry, so that it
-    dies out everywhere once nobody hears it anew.
+    Sources are the responses of the targets, the platform's list and other
+    entries.  A report keeps its age when it is passed from entry to entry, so
+    that it expires everywhere once no source repeats it.
     """
 
     def __init__(self) -> None:
-        self._heard_at: dict[str, dict[str, float]] = {}
+        self._reported_at: dict[str, dict[str, float]] = {}
         self._lock: Final = threading.Lock()
 
-    def mark(self, service: str, target: str, age: float = 0.0) -> None:
-        """Note that a target said it is leaving, ``age`` seconds ago."""
-        heard_at = read_clock() - age
+    def record(self, service: str, target: str, age: float = 0.0) -> None:
+        """Record that a target was reported as draining, ``age`` seconds ago."""
+        reported_at = read_clock() - age
         with self._lock:
-            known = self._heard_at.setdefault(service, {})
-            known[target] = max(heard_at, known.get(target, heard_at))
+            known = self._reported_at.setdefault(service, {})
+            known[target] = max(reported_at, known.get(target, reported_at))
 
-    def of(self, service: str) -> frozenset[str]:
-        """Return the leaving targets of a service."""
-        floor = read_clock() - FORGET_SECONDS
+    def find(self, service: str) -> frozenset[str]:
+        """Return the draining targets of a service."""
+        oldest = read_clock() - EXPIRY_SECONDS
         with self._lock:
-            known = self._heard_at.get(service, {})
-            return frozenset(target for target, heard_at in known.items() if heard_at > floor)
+            known = self._reported_at.get(service, {})
+            return frozenset(
+                target for target, reported_at in known.items() if reported_at > oldest
+            )
 
-    def list(self) -> tuple[LeavingTarget, ...]:
-        """Return all leaving targets, to be told to other entries."""
+    def list_all(self) -> tuple[LeavingTarget, ...]:
+        """Return all draining targets, to report them to other entries."""
         now = read_clock()
         with self._lock:
             return tuple(
-                LeavingTarget(service=service, target=target, age=now - heard_at)
-                for service, known in self._heard_at.items()
-                for target, heard_at in known.items()
-                if now - heard_at < FORGET_SECONDS
+                LeavingTarget(service=service, target=target, age=now - reported_at)
+                for service, known in self._reported_at.items()
+                for target, reported_at in known.items()
+                if now - reported_at < EXPIRY_SECONDS
             )
 
-    def learn(self, told: Iterable[LeavingTarget]) -> None:
-        """Take what another entry told."""
-        for target in told:
-            self.mark(target.service, target.target, target.age)
+    def merge(self, reports: Iterable[LeavingTarget]) -> None:
+        """Merge the reports of another entry."""
+        for report in reports:
+            self.record(report.service, report.target, report.age)
--- a/packages/damsonlaned/src/damsonlaned/entry/_job_client.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_job_client.py
@@ -1,4 +1,4 @@
-"""Job commands on their way to the ledger, together with whatever else is asked at the moment."""
+"""Send job commands to the ledger; commands that wait at the same time share a batch."""
 
 import asyncio
 import concurrent.futures
@@ -13,13 +13,13 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Asked:
+class _PendingCommand:
     command: Command
     future: "asyncio.Future[Reply]"
 
 
-class JobLink:
-    """Carries job commands from the callers' threads to control.
+class JobClient:
+    """Sends job commands of callers' threads to control.
 
     Args:
         client: client of control, used on the running loop.
@@ -28,12 +28,20 @@
     def __init__(self, client: ControlClient) -> None:
         self._client: Final = client
         self._loop: Final = asyncio.get_running_loop()
-        self._asked: list[_Asked] = []
+        self._pending: list[_PendingCommand] = []
         self._flushes: set[asyncio.Task[None]] = set()
 
-    def ask(self, command: Command, seconds: float) -> JobReply | None:
-        """Have a command committed, from any thread; None when that is not known in time."""
-        future = asyncio.run_coroutine_threadsafe(self._ask(command, seconds), self._loop)
+    def submit(self, command: Command, seconds: float) -> JobReply | None:
+        """Have the ledger commit a command, from any thread.
+
+        Args:
+            command: the command.
+            seconds: time-out.
+
+        Returns:
+            The reply; None if it is not known in time whether the command was committed.
+        """
+        future = asyncio.run_coroutine_threadsafe(self._enqueue(command, seconds), self._loop)
         try:
             reply = future.result(timeout=max(0.0, seconds))
         except (concurrent.futures.TimeoutError, UnavailableError):
@@ -41,28 +49,28 @@
             return None
         return reply if isinstance(reply, JobReply) else None
 
-    async def _ask(self, command: Command, seconds: float) -> Reply:
+    async def _enqueue(self, command: Command, seconds: float) -> Reply:
         future: asyncio.Future[Reply] = self._loop.create_future()
-        if not self._asked:
+        if not self._pending:
             self._loop.call_soon(self._start_flush, seconds)
-        self._asked.append(_Asked(command=command, future=future))
+        self._pending.append(_PendingCommand(command=command, future=future))
         return await asyncio.wait_for(future, seconds)
 
     def _start_flush(self, seconds: float) -> None:
-        asked = self._asked
-        self._asked = []
-        task = self._loop.create_task(self._flush(asked, seconds))
+        batch = self._pending
+        self._pending = []
+        task = self._loop.create_task(self._flush(batch, seconds))
         self._flushes.add(task)
         task.add_done_callback(self._flushes.discard)
 
-    async def _flush(self, asked: Sequence[_Asked], seconds: float) -> None:
+    async def _flush(self, batch: Sequence[_PendingCommand], seconds: float) -> None:
         try:
-            replies = await self._client.submit([item.command for item in asked], seconds)
+            replies = await self._client.submit([item.command for item in batch], seconds)
         except UnavailableError as error:
-            for item in asked:
+            for item in batch:
                 if not item.future.done():
                     item.future.set_exception(error)
             return
-        for item, reply in zip(asked, replies, strict=True):
+        for item, reply in zip(batch, replies, strict=True):
             if not item.future.done():
                 item.future.set_result(reply)
--- a/packages/damsonlaned/src/damsonlaned/entry/_node.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_node.py
@@ -1,4 +1,4 @@
-"""The entry node: everything between callers and targets on one box."""
+"""The entry node: serves callers and sends their requests to targets, on one box."""
 
 import asyncio
 import ssl
@@ -7,21 +7,21 @@
 from damsonlane.settings import BoxSettings
 from damsonlaned.admin import Admin
 from damsonlaned.entry._caller_application import CallerApplication
-from damsonlaned.entry._control_link import Uplink
-from damsonlaned.entry._dispatcher import Dispatch
-from damsonlaned.entry._draining_targets import LeavingTargets
+from damsonlaned.entry._control_link import ControlLink
+from damsonlaned.entry._dispatcher import Dispatcher
+from damsonlaned.entry._draining_targets import DrainingTargets
 from damsonlaned.entry._peer_service import PeerService
-from damsonlaned.entry._platform_list import PlatformWatch
-from damsonlaned.entry._rate_limited_targets import LimitedTargets
+from damsonlaned.entry._platform_list import PlatformListWatcher
+from damsonlaned.entry._rate_limited_targets import RateLimitedTargets
 from damsonlaned.entry._request_runner import RequestRunner
 from damsonlaned.entry._settings_view import SettingsView
 from damsonlaned.metrics import Metrics
 from damsonlaned.servers import HttpServer
 
-#: Seconds between looks at what is still in flight while stopping.
-DRAIN_POLL: Final = 0.05
-#: Looks in a row that must find nothing before the socket is closed.
-QUIET_POLLS: Final = 3
+#: Seconds between two checks for requests in progress while stopping.
+DRAIN_POLL_SECONDS: Final = 0.05
+#: Consecutive checks that must find no request before the socket is closed.
+IDLE_POLLS: Final = 3
 
 
 class EntryNode:
@@ -36,55 +36,55 @@
         self._settings: Final = settings
         self._view: Final = SettingsView()
         self._metrics: Final = Metrics()
-        leaving = LeavingTargets()
-        self._uplink: Final = Uplink(settings, self._view, leaving, context)
-        limits = LimitedTargets(self._uplink.permits)
-        self._uplink.settings.take_rate_limits = limits.put
-        self._dispatch: Final = Dispatch(
+        draining = DrainingTargets()
+        self._control: Final = ControlLink(settings, self._view, draining, context)
+        limits = RateLimitedTargets(self._control.permits)
+        self._control.settings.on_rate_limits = limits.apply_list
+        self._dispatcher: Final = Dispatcher(
             settings.data_centre,
-            leaving,
-            self._uplink.quarantine,
-            lambda: self._uplink.settings.live_entries,
+            draining,
+            self._control.quarantine,
+            lambda: self._control.settings.live_entries,
             limits,
         )
-        self._platform: Final = PlatformWatch(settings, self._view, leaving)
-        runner = RequestRunner(self._uplink, self._dispatch)
+        self._platform: Final = PlatformListWatcher(settings, self._view, draining)
+        runner = RequestRunner(self._control, self._dispatcher)
         self._callers: Final = CallerApplication(settings, self._view, runner, self._metrics)
         self._server: Final = HttpServer(
             settings.caller_address, self._callers, settings.caller_threads
         )
         self._admin: Final = Admin(
-            settings.admin_address, self._metrics, self._callers.is_ready, self._refresh
+            settings.admin_address, self._metrics, self._callers.is_ready, self._update_metrics
         )
-        self.peers: Final = PeerService(self._view, leaving)
+        self.peers: Final = PeerService(self._view, draining)
 
     async def start(self) -> None:
         """Start serving; callers are refused until settings are confirmed.
 
         Raises:
-            StorageError: an address can't be had.
+            StorageError: an address is not available.
         """
         await self._admin.start()
         self._server.start()
-        self._uplink.start()
+        self._control.start()
         self._platform.start()
 
     async def stop(self) -> None:
-        """Let everything in flight end, then stop."""
+        """Wait until no request is in progress, then stop."""
         self._callers.is_draining = True
-        self._uplink.settings.announce_leaving()
+        self._control.settings.announce_draining()
         await asyncio.sleep(self._settings.grace_seconds)
-        quiet = 0
-        while quiet < QUIET_POLLS:
+        idle_polls = 0
+        while idle_polls < IDLE_POLLS:
             is_busy = self._callers.in_flight() > 0 or self._server.waiting() > 0
-            quiet = 0 if is_busy else quiet + 1
-            await asyncio.sleep(DRAIN_POLL)
+            idle_polls = 0 if is_busy else idle_polls + 1
+            await asyncio.sleep(DRAIN_POLL_SECONDS)
         await asyncio.to_thread(self._server.stop)
         await self._platform.stop()
-        await self._uplink.stop()
-        self._dispatch.close()
+        await self._control.stop()
+        self._dispatcher.close()
         await self._admin.stop()
 
-    def _refresh(self) -> None:
+    def _update_metrics(self) -> None:
         self._metrics.in_flight.set({}, self._callers.in_flight())
         self._metrics.version.set({}, self._view.current.version)
--- a/packages/damsonlaned/src/damsonlaned/entry/_peer_service.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_peer_service.py
@@ -1,33 +1,33 @@
-"""What an entry tells its peers."""
+"""Serve the requests of other entries."""
 
 from typing import Final
 
 from grpclib.server import Stream
 
 from damsonlane_rpc import COMPARE, PeerReply, PeerRequest, Service, WatchUpdate
-from damsonlaned.entry._draining_targets import LeavingTargets
+from damsonlaned.entry._draining_targets import DrainingTargets
 from damsonlaned.entry._settings_view import SettingsView
 
 
 class PeerService:
-    """Gives newer settings to entries that ask."""
+    """Serves newer settings and the list of draining targets to other entries."""
 
-    def __init__(self, view: SettingsView, leaving: LeavingTargets) -> None:
+    def __init__(self, view: SettingsView, draining: DrainingTargets) -> None:
         self._view: Final = view
-        self._leaving: Final = leaving
+        self._draining: Final = draining
 
     def service(self) -> Service:
-        """Return the calls in the form grpclib expects."""
+        """Return the RPC handlers in the form that grpclib expects."""
         return Service({COMPARE.path: COMPARE.handler(self.compare)})
 
     async def compare(self, stream: Stream[PeerRequest, PeerReply]) -> None:
-        """Answer with the settings in force here if they are newer."""
+        """Answer with the draining targets, and the settings in force here if they are newer."""
         request = await stream.recv_message()
         if request is None:
             return
-        self._leaving.learn(request.leaving)
+        self._draining.merge(request.leaving)
         current = self._view.current
         update = None
         if current.version > request.version:
             update = WatchUpdate(version=current.version, document=current.document)
-        await stream.send_message(PeerReply(update=update, leaving=self._leaving.list()))
+        await stream.send_message(PeerReply(update=update, leaving=self._draining.list_all()))
--- a/packages/damsonlaned/src/damsonlaned/entry/_permit_client.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_permit_client.py
@@ -1,4 +1,4 @@
-"""Permits for requests to limited targets, as the callers' threads ask control for them."""
+"""Request permits for rate-limited targets from control, for callers' threads."""
 
 import asyncio
 import concurrent.futures
@@ -12,17 +12,17 @@
 
 _LOG: Final = logging.getLogger(__name__)
 
-#: Seconds for which a thread waits for control; a leader answers from memory.
-ANSWER_SECONDS: Final = 0.2
-#: Seconds for which telling control may take, over all replicas.
-TELL_SECONDS: Final = 2.0
+#: Time-out of a permit request to control, in seconds; the leader answers from memory.
+REQUEST_TIMEOUT_SECONDS: Final = 0.2
+#: Time-out of a report to control, in seconds, over all replicas.
+REPORT_TIMEOUT_SECONDS: Final = 2.0
 
 
-class ThreadPermits:
-    """Carries orders of callers' threads to the loop of the process.
+class PermitClient:
+    """Passes permit requests of callers' threads to the event loop of the process.
 
     Args:
-        client: used on the running loop.
+        client: client of control, used on the running loop.
     """
 
     def __init__(self, client: ControlClient) -> None:
@@ -30,29 +30,29 @@
         self._loop: Final = asyncio.get_running_loop()
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def tell(self, word: RateWord) -> None:
-        """Have control told what a target said."""
-        self._loop.call_soon_threadsafe(self._start_telling, word)
+    def report(self, report: RateWord) -> None:
+        """Report a rate limit that a target announced, without waiting."""
+        self._loop.call_soon_threadsafe(self._start_report, report)
 
-    def ask(self, request: PermitRequest) -> tuple[Permit, ...] | None:
-        """Return the permits that control issues, or None where it does not answer in time."""
-        call = self._client.ask_permits(request, ANSWER_SECONDS)
+    def request_permits(self, request: PermitRequest) -> tuple[Permit, ...] | None:
+        """Return the permits that control issues, or None if it does not answer in time."""
+        call = self._client.ask_permits(request, REQUEST_TIMEOUT_SECONDS)
         future = asyncio.run_coroutine_threadsafe(call, self._loop)
         try:
-            return future.result(2 * ANSWER_SECONDS)
+            return future.result(2 * REQUEST_TIMEOUT_SECONDS)
         except (UnavailableError, concurrent.futures.TimeoutError) as error:
             fields = {"service": request.service, "fault": str(error) or type(error).__name__}
-            _LOG.warning("no permit in time", extra=fields)
+            _LOG.warning("no permit received in time", extra=fields)
             return None
 
-    def _start_telling(self, word: RateWord) -> None:
-        task = start_task(self._tell(word), "telling control of a rate limit")
+    def _start_report(self, report: RateWord) -> None:
+        task = start_task(self._send_report(report), "reporting a rate limit to control")
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _tell(self, word: RateWord) -> None:
+    async def _send_report(self, report: RateWord) -> None:
         try:
-            await self._client.ask_permits(PermitRequest(words=(word,)), TELL_SECONDS)
+            await self._client.ask_permits(PermitRequest(words=(report,)), REPORT_TIMEOUT_SECONDS)
         except UnavailableError as error:
-            # The next order tells it as well, and the next answer that says so.
-            _LOG.info("rate limit not told", extra={"fault": str(error)})
+            # The next permit request reports it, and so does the next response that announces it.
+            _LOG.info("rate limit not reported to control", extra={"fault": str(error)})
--- a/packages/damsonlaned/src/damsonlaned/entry/_platform_list.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_platform_list.py
@@ -1,4 +1,4 @@
-"""The platform's list of boxes, which lags: one source of leaving targets among others."""
+"""Read the platform's list of boxes, one of the sources of draining targets; it may be late."""
 
 import asyncio
 import contextlib
@@ -12,21 +12,21 @@
 from pydantic import TypeAdapter, ValidationError
 
 from damsonlane.settings import BoxSettings
-from damsonlaned.entry._draining_targets import LeavingTargets
+from damsonlaned.entry._draining_targets import DrainingTargets
 from damsonlaned.entry._settings_view import SettingsView
 
 _LOG: Final = logging.getLogger(__name__)
 
-#: Seconds between looks at the list.
-LOOK_SECONDS: Final = 2.0
-#: Seconds that reading it may take.
-READ_SECONDS: Final = 2.0
+#: Seconds between two reads of the list.
+POLL_SECONDS: Final = 2.0
+#: Time-out of reading it by HTTP, in seconds.
+READ_TIMEOUT_SECONDS: Final = 2.0
 _ADAPTER: Final = TypeAdapter(dict[str, list[str]])
 
-#: Reads a list from where settings say it is.
+#: Reads a list from the path or URL in the settings.
 ListSource = Callable[[str], bytes]
 
-#: All kinds of source by the name that settings use.
+#: Sources by the name that settings use.
 SOURCES: Final[dict[str, ListSource]] = {}
 
 
@@ -41,24 +41,26 @@
 
 
 @list_source("file")
-def read_file(place: str) -> bytes:
+def read_file(path: str) -> bytes:
     """Read the list from a file."""
-    return Path(place).read_bytes()
+    return Path(path).read_bytes()
 
 
 @list_source("http")
-def read_http(place: str) -> bytes:
+def read_http(url: str) -> bytes:
     """Read the list by HTTP."""
-    return urllib3.request("GET", place, timeout=READ_SECONDS, retries=False).data
+    return urllib3.request("GET", url, timeout=READ_TIMEOUT_SECONDS, retries=False).data
 
 
-class PlatformWatch:
-    """Follows the platform's list: an object with names under ``live`` and ``leaving``."""
+class PlatformListWatcher:
+    """Follows the platform's list, an object with target names under ``live`` and ``leaving``."""
 
-    def __init__(self, settings: BoxSettings, view: SettingsView, leaving: LeavingTargets) -> None:
+    def __init__(
+        self, settings: BoxSettings, view: SettingsView, draining: DrainingTargets
+    ) -> None:
         self._settings: Final = settings
         self._view: Final = view
-        self._leaving: Final = leaving
+        self._draining: Final = draining
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
@@ -79,13 +81,13 @@
         place = self._settings.platform_list.place
         while True:
             try:
-                self._take(await asyncio.to_thread(source, place))
+                self._apply(await asyncio.to_thread(source, place))
             except (OSError, urllib3.exceptions.HTTPError, ValueError, ValidationError) as error:
-                _LOG.warning("the platform's list can't be read", extra={"fault": str(error)})
-            await asyncio.sleep(LOOK_SECONDS)
-
-    def _take(self, data: bytes) -> None:
-        leaving = set(_ADAPTER.validate_python(json.loads(data)).get("leaving", []))
-        for service, written in self._view.current.tree.services.items():
-            for target in leaving & set(written.targets):
-                self._leaving.mark(service, target)
+                _LOG.warning("cannot read the platform's list", extra={"fault": str(error)})
+            await asyncio.sleep(POLL_SECONDS)
+
+    def _apply(self, data: bytes) -> None:
+        draining = set(_ADAPTER.validate_python(json.loads(data)).get("leaving", []))
+        for service, entry in self._view.current.tree.services.items():
+            for target in draining & set(entry.targets):
+                self._draining.record(service, target)
--- a/packages/damsonlaned/src/damsonlaned/entry/_problems.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_problems.py
@@ -1,4 +1,4 @@
-"""Problem details (RFC 9457) that callers get in place of an answer."""
+"""Problem details (RFC 9457), which callers get in place of an answer."""
 
 import json
 import math
@@ -32,17 +32,17 @@
 class Problem:
     """One problem."""
 
-    #: Last part of its type.
+    #: Last part of the problem type.
     name: str
     #: HTTP status.
     status: HTTPStatus
-    #: What a reader should know.
+    #: Explanation for a human reader.
     detail: str
-    #: Whether anything ran.
+    #: Whether anything of the request ran.
     run: Run = "no"
-    #: Request that it is about, or empty.
+    #: Id of the request, or empty.
     request: str = ""
-    #: Seconds after which it makes sense to come back; 0 when it makes none.
+    #: Seconds after which the caller should retry; 0 for no ``Retry-After``.
     retry_after: float = 0.0
 
     def body(self) -> bytes:
@@ -58,7 +58,7 @@
         return json.dumps(fields).encode()
 
     def headers(self) -> list[tuple[str, str]]:
-        """Return the headers that go with it."""
+        """Return the headers of the response."""
         headers = [("Content-Type", "application/problem+json")]
         if self.retry_after > 0:
             headers.append(("Retry-After", str(math.ceil(self.retry_after))))
@@ -66,7 +66,7 @@
 
 
 def describe_refusal(refusal: Refusal) -> Problem:
-    """Return a refusal as a problem."""
+    """Return the problem that describes a refusal."""
     return Problem(
         name=refusal.reason,
         status=_STATUSES[refusal.reason],
--- a/packages/damsonlaned/src/damsonlaned/entry/_process.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_process.py
@@ -1,4 +1,4 @@
-"""Running the entry that serves pipelines."""
+"""Run an entry that serves pipelines."""
 
 import logging
 from typing import Final
@@ -17,7 +17,7 @@
 
 
 async def run_entry(settings: BoxSettings, keys: Keys) -> None:
-    """Run the entry until it is told to stop."""
+    """Run the entry until the process is asked to stop."""
     node = EntryNode(settings, keys.client)
     server = await serve_boxes(settings, node.peers.service(), keys)
     await node.start()
--- a/packages/damsonlaned/src/damsonlaned/entry/_rate_limited_targets.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_rate_limited_targets.py
@@ -1,4 +1,4 @@
-"""Targets of pipelines that named rate limits."""
+"""Targets of pipelines that announced rate limits."""
 
 import logging
 import threading
@@ -20,136 +20,153 @@
 
 _LOG: Final = logging.getLogger(__name__)
 
-#: Seconds for which limited targets get nothing where control does not answer.
-UNANSWERED_SECONDS: Final = 0.5
-#: Least time between two orders for a target where others take the request, in seconds.
-LEAST_PAUSE_SECONDS: Final = 0.02
+#: Seconds for which rate-limited targets get nothing after control did not answer.
+UNANSWERED_BACKOFF_SECONDS: Final = 0.5
+#: Least time between two permit requests for a target while others can serve, in seconds.
+MIN_PERMIT_INTERVAL_SECONDS: Final = 0.02
 
 
 class PermitSource(Protocol):
-    """Reaches whoever issues permits."""
+    """Issues permits and receives reports of rate limits."""
 
-    def ask(self, request: PermitRequest) -> tuple[Permit, ...] | None:
-        """Return permits; None without an answer in time."""
+    def request_permits(self, request: PermitRequest) -> tuple[Permit, ...] | None:
+        """Return the issued permits, or None on a timeout."""
 
-    def tell(self, word: RateWord) -> None:
-        """Tell what a target said, without waiting."""
+    def report(self, report: RateWord) -> None:
+        """Report a rate limit that a target announced, without waiting."""
 
 
-class NoPermits:
-    """Issues nothing: a box without control sends nothing to limited targets."""
+class NoPermitSource:
+    """Issues no permits: without control, rate-limited targets get nothing."""
 
-    def ask(self, _: PermitRequest) -> None:
+    def request_permits(self, _: PermitRequest) -> None:
         """Return no permits."""
 
-    def tell(self, _: RateWord) -> None:
-        """Tell nobody."""
+    def report(self, _: RateWord) -> None:
+        """Drop the report."""
 
 
-class LimitedTargets:
-    """What targets named, and the permits that control issues; safe for many threads.
+class RateLimitedTargets:
+    """Rate limits of targets, and permits to send to them; safe for use by many threads.
 
     Args:
-        source: issues permits.
+        source: issues permits and receives reports.
     """
 
     def __init__(self, source: PermitSource) -> None:
         self._source: Final = source
-        self._book: Final = RateLimitBook()
+        self._table: Final = RateLimitBook()
         self._listed = RateLimitList(revision=-1)
-        self._at_rate_until: dict[TargetStart, float] = {}
+        self._exhausted_until: dict[TargetStart, float] = {}
         self._lock: Final = threading.Lock()
 
-    def note(
+    def record(
         self, service: str, target: str, address: str, rate: float | None, *, may_end: bool
     ) -> None:
-        """Take what the head of an answer says.
+        """Record what the head of a response says of the rate limit of its target.
 
         Args:
-            service: the service of the target.
-            target: its name.
-            address: its address.
-            rate: requests a second that it takes; None where it names no limit.
-            may_end: whether an answer of this kind ends a limit that it does not name.
+            service: service of the target.
+            target: name of the target.
+            address: address of the target.
+            rate: announced limit, in requests a second; None if none is announced.
+            may_end: whether a response of this kind ends a limit that it does not announce.
         """
-        named = name_target(service, target, address)
+        incarnation = make_incarnation(service, target, address)
         if rate is None and not may_end:
             return
-        word = RateWord(named=named, rate=rate)
-        if self._note(word):
-            self._source.tell(word)
+        report = RateWord(named=incarnation, rate=rate)
+        if self._record(report):
+            self._source.report(report)
 
-    def put(self, newer: RateLimitList) -> None:
-        """Take the list of control: what is new there was heard by another box just now."""
+    def apply_list(self, newer: RateLimitList) -> None:
+        """Apply a newer list of control; another box has just reported what changed in it."""
         if newer.revision <= self._listed.revision:
             return
         before, self._listed = self._listed, newer
-        for word in list_changes(before, newer):
-            self._note(word)
+        for report in list_changes(before, newer):
+            self._record(report)
 
-    def list_limited(
-        self, service: str, standings: Mapping[str, Standing]
+    def list_rate_limited(
+        self, service: str, locations: Mapping[str, Standing]
     ) -> dict[str, TargetStart]:
-        """Return those of some targets of a service that named a limit, by their names."""
+        """Return those of some targets of a service that have a rate limit, by name."""
         with self._lock:
-            if self._book.is_empty():
+            if self._table.is_empty():
                 return {}
-            starts = {
-                name: name_target(service, name, standing.address)
-                for name, standing in standings.items()
+            incarnations = {
+                name: make_incarnation(service, name, location.address)
+                for name, location in locations.items()
+            }
+            return {
+                name: incarnation
+                for name, incarnation in incarnations.items()
+                if self._table.is_limited(incarnation)
             }
-            return {name: named for name, named in starts.items() if self._book.is_limited(named)}
 
-    def list_at_rate(self, limited: Mapping[str, TargetStart]) -> set[str]:
-        """Return the targets that had what they named when this box asked last."""
+    def list_exhausted(self, rate_limited: Mapping[str, TargetStart]) -> set[str]:
+        """Return the targets whose limit was exhausted when this box last requested a permit."""
         now = read_clock()
         with self._lock:
             return {
-                name for name, named in limited.items() if self._at_rate_until.get(named, 0) > now
+                name
+                for name, incarnation in rate_limited.items()
+                if self._exhausted_until.get(incarnation, 0) > now
             }
 
-    def find_wait(self, limited: Collection[TargetStart]) -> float:
-        """Return how long all of some targets have what they named, as far as is known."""
+    def find_wait_seconds(self, rate_limited: Collection[TargetStart]) -> float:
+        """Return the seconds until the limit of one of some targets allows a request, if known."""
         now = read_clock()
         with self._lock:
-            waits = [self._at_rate_until.get(named, now) - now for named in limited]
+            waits = [
+                self._exhausted_until.get(incarnation, now) - now for incarnation in rate_limited
+            ]
         return max(0.0, min(waits, default=0.0))
 
-    def ask(self, service: str, targets: tuple[TargetStart, ...], *, is_last: bool) -> Permit:
-        """Return the permit for one request.
+    def request_permit(
+        self, service: str, targets: tuple[TargetStart, ...], *, is_last: bool
+    ) -> Permit:
+        """Request a permit to send one request to one of some targets.
 
         Args:
-            service: the service.
-            targets: those that could get the request, the best one first.
+            service: service of the targets.
+            targets: targets that can get the request, the best one first.
             is_last: whether the request is refused without a permit.
         """
         now = read_clock()
         with self._lock:
-            words = tuple(self._book.find_word(named, now) for named in targets)
+            reports = tuple(self._table.find_word(incarnation, now) for incarnation in targets)
         order = PermitOrder(number=0, targets=targets, is_last=is_last)
-        permits = self._source.ask(PermitRequest(service=service, orders=(order,), words=words))
+        permits = self._source.request_permits(
+            PermitRequest(service=service, orders=(order,), words=reports)
+        )
         if not permits:
             permit = Permit(
-                number=0, wait_seconds=UNANSWERED_SECONDS, return_seconds=UNANSWERED_SECONDS
+                number=0,
+                wait_seconds=UNANSWERED_BACKOFF_SECONDS,
+                return_seconds=UNANSWERED_BACKOFF_SECONDS,
             )
         else:
             permit = permits[0]
-        for word in permit.words:
-            self._note(word)
+        for report in permit.words:
+            self._record(report)
         if not permit.target:
-            until = now + max(LEAST_PAUSE_SECONDS, permit.wait_seconds)
+            until = now + max(MIN_PERMIT_INTERVAL_SECONDS, permit.wait_seconds)
             with self._lock:
-                self._at_rate_until.update(dict.fromkeys(targets, until))
+                self._exhausted_until.update(dict.fromkeys(targets, until))
         return permit
 
-    def _note(self, word: RateWord) -> bool:
+    def _record(self, report: RateWord) -> bool:
         with self._lock:
-            is_news = self._book.note(word, read_clock())
-        if is_news:
-            _LOG.info("rate limit named", extra={"target": word.named.target, "rate": word.rate})
-        return is_news
+            is_change = self._table.note(report, read_clock())
+        if is_change:
+            _LOG.info(
+                "rate limit announced",
+                extra={"target": report.named.target, "rate": report.rate},
+            )
+        return is_change
 
 
-def name_target(service: str, target: str, address: str) -> TargetStart:
-    """Return the name under which all boxes speak of a pipeline's target; it tells no start."""
+def make_incarnation(service: str, target: str, address: str) -> TargetStart:
+    """Return the key of a pipeline's target, the same at all boxes; its start is not known."""
     return TargetStart(target=f"{service}/{target}", address=address)
--- a/packages/damsonlaned/src/damsonlaned/entry/_rendering.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_rendering.py
@@ -1,18 +1,18 @@
-"""Endings as callers see them: JSON bodies and server-sent events."""
+"""Render the outcome of a request for its caller, as JSON or as server-sent events."""
 
 import json
 
 from damsonlane.requests import Answer, Ending, Refusal, Repeat, decode_answer
 
 
-def render_answer(ending: Answer | Repeat) -> bytes:
-    """Return a whole answer as a JSON body."""
-    return json.dumps(_describe(ending)).encode()
+def render_answer(outcome: Answer | Repeat) -> bytes:
+    """Return a complete answer as a JSON body."""
+    return json.dumps(_describe(outcome)).encode()
 
 
-def _describe(ending: Answer | Repeat) -> dict[str, object]:
-    is_repeat = isinstance(ending, Repeat)
-    answer = decode_answer(ending.answer) if isinstance(ending, Repeat) else ending
+def _describe(outcome: Answer | Repeat) -> dict[str, object]:
+    is_repeat = isinstance(outcome, Repeat)
+    answer = decode_answer(outcome.answer) if isinstance(outcome, Repeat) else outcome
     return {
         "request": answer.request,
         "output": answer.output,
@@ -31,14 +31,14 @@
 
 
 def render_event(name: str, data: dict[str, object]) -> bytes:
-    """Return one event."""
+    """Return one server-sent event."""
     return f"event: {name}\ndata: {json.dumps(data)}\n\n".encode()
 
 
-def render_last_event(ending: Ending) -> bytes:
-    """Return the event that says whether the stream is whole."""
-    if isinstance(ending, Refusal):
-        return render_event("end", {"whole": False, "reason": ending.reason, "run": ending.run})
-    described = _describe(ending)
+def render_last_event(outcome: Ending) -> bytes:
+    """Return the last event of a stream, which says whether the stream is complete."""
+    if isinstance(outcome, Refusal):
+        return render_event("end", {"whole": False, "reason": outcome.reason, "run": outcome.run})
+    described = _describe(outcome)
     del described["output"]
     return render_event("end", {"whole": True, **described})
--- a/packages/damsonlaned/src/damsonlaned/entry/_request_parser.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_request_parser.py
@@ -1,4 +1,4 @@
-"""From an HTTP request to a typed request, or to a problem."""
+"""Parse and check an HTTP request of a caller."""
 
 import hashlib
 import json
@@ -18,25 +18,25 @@
 from damsonlaned.entry._problems import Problem
 from damsonlaned.entry._settings_view import SettingsInForce
 
-#: First part of the path of every pipeline.
-PIPELINES: Final = "/v1/pipelines/"
+#: Prefix of the path of every pipeline.
+PIPELINE_PATH_PREFIX: Final = "/v1/pipelines/"
 #: Longest idempotency key, in characters.
-KEY_LENGTH: Final = 256
+MAX_KEY_LENGTH: Final = 256
 #: Header with the caller's remaining time, in milliseconds.
 DEADLINE_HEADER: Final = "HTTP_DAMSONLANE_DEADLINE_MS"
-#: Header by which a caller says whether it sent this key before.
+#: Header in which a caller says whether it sent this key before.
 RESEND_HEADER: Final = "HTTP_DAMSONLANE_RESEND"
-#: Set by the server when a header that may stand once stood twice.
+#: Set by the server to the name of a header that was repeated and must not be.
 REPEATED_HEADER: Final = "HTTP_DAMSONLANE_REPEATED_HEADER"
 
 Environment = Mapping[str, Any]
 
 
 class ProblemError(Exception):
-    """The request can't be taken.
+    """The request cannot be accepted.
 
     Attributes:
-        problem: what the caller is told.
+        problem: the response to the caller.
     """
 
     def __init__(self, problem: Problem) -> None:
@@ -45,28 +45,28 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class TakenRequest:
-    """A request that was taken."""
+class ParsedRequest:
+    """A request that passed all checks."""
 
     #: The request.
     request: Request
-    #: How it enters.
+    #: Its properties for admission control.
     entrant: Entrant
-    #: Whether the caller wants tokens as they come.
+    #: Whether the caller requested an event stream.
     is_streaming: bool
-    #: The settings under which it was taken, which hold until its end.
+    #: The settings in force on its arrival, which apply until it completes.
     settings: SettingsInForce
 
     def run_if_refused(self) -> Run:
-        """Say what is known to have run if the request is refused before it entered.
+        """Return what is known to have run if the request is refused before it is admitted.
 
-        An earlier sending of a marked request may have run.
+        An earlier sending of a request with an idempotency key may have run.
         """
         is_known = self.request.job is None or self.request.is_first_send
         return "no" if is_known else "unknown"
 
 
-def take_request(
+def parse_request(
     environment: Environment,
     settings: SettingsInForce,
     *,
@@ -74,11 +74,11 @@
     body_limit: int,
     arrived_at: float,
     live_entries: int = 1,
-) -> TakenRequest:
-    """Check everything that a caller sent.
+) -> ParsedRequest:
+    """Parse a request and check everything that its caller sent.
 
     Args:
-        environment: the request as WSGI gives it.
+        environment: the WSGI environment of the request.
         settings: the settings in force.
         data_centre: data centre of this entry.
         body_limit: largest body, in bytes.
@@ -86,7 +86,7 @@
         live_entries: entries that share the fleet's limits.
 
     Raises:
-        ProblemError: with what is wrong; nothing ran.
+        ProblemError: the request is invalid; nothing ran.
     """
     _check_headers(environment)
     organisation = _authenticate(environment, settings)
@@ -99,8 +99,8 @@
         organisation=organisation,
         pipeline=name,
         text=text,
-        due_at=_find_due(environment, settings.tree, organisation, name, policy, arrived_at),
-        stages=_plan_stages(settings.tree, data_centre, organisation, name),
+        due_at=_find_deadline(environment, settings.tree, organisation, name, policy, arrived_at),
+        stages=_resolve_stages(settings.tree, data_centre, organisation, name),
         job=JobKey(organisation=organisation, key=key) if key else None,
         digest=hashlib.sha256(f"{name}\0{text}".encode()).hexdigest(),
         is_first_send=str(environment.get(RESEND_HEADER, "")).strip().lower() == "no",
@@ -113,7 +113,7 @@
         own_limit=math.ceil(policy.fleet_in_flight / live_entries),
     )
     accepted = str(environment.get("HTTP_ACCEPT", ""))
-    return TakenRequest(
+    return ParsedRequest(
         request=request,
         entrant=entrant,
         is_streaming="text/event-stream" in accepted,
@@ -132,15 +132,15 @@
 def _authenticate(environment: Environment, settings: SettingsInForce) -> str:
     scheme, _, token = str(environment.get("HTTP_AUTHORIZATION", "")).partition(" ")
     digest = hashlib.sha256(token.strip().encode()).hexdigest()
-    owner = settings.owners.get(digest) if scheme.lower() == "bearer" else None
-    if owner is None:
+    organisation = settings.owners.get(digest) if scheme.lower() == "bearer" else None
+    if organisation is None:
         detail = "a bearer token of an organisation is needed"
         raise _problem("unauthorised", HTTPStatus.UNAUTHORIZED, detail)
-    return owner
+    return organisation
 
 
 def _find_pipeline(environment: Environment, tree: Tree, organisation: str) -> tuple[str, Pipeline]:
-    name = str(environment["PATH_INFO"]).removeprefix(PIPELINES)
+    name = str(environment["PATH_INFO"]).removeprefix(PIPELINE_PATH_PREFIX)
     pipeline = tree.organisations[organisation].pipelines.get(name)
     if pipeline is None:
         # Another organisation's pipeline reads the same as one that does not exist.
@@ -177,8 +177,8 @@
 
 def _read_key(environment: Environment, pipeline: Pipeline) -> str:
     key = str(environment.get("HTTP_IDEMPOTENCY_KEY", "")).strip().strip('"')
-    if len(key) > KEY_LENGTH:
-        detail = f"the idempotency key is longer than {KEY_LENGTH} characters"
+    if len(key) > MAX_KEY_LENGTH:
+        detail = f"the idempotency key is longer than {MAX_KEY_LENGTH} characters"
         raise _problem("malformed", HTTPStatus.BAD_REQUEST, detail)
     if not key and not pipeline.repeatable:
         detail = "this pipeline is not repeatable: send an Idempotency-Key"
@@ -186,7 +186,7 @@
     return key
 
 
-def _find_due(
+def _find_deadline(
     environment: Environment,
     tree: Tree,
     organisation: str,
@@ -194,12 +194,12 @@
     policy: EffectivePolicy,
     arrived_at: float,
 ) -> float:
-    """Return the earliest of the settings' limit, the caller's time and the event's end."""
+    """Return the earliest of the settings' limit, the caller's deadline and the event's end."""
     seconds = policy.deadline_seconds
-    written = environment.get(DEADLINE_HEADER)
-    if written is not None:
+    header = environment.get(DEADLINE_HEADER)
+    if header is not None:
         try:
-            seconds = min(seconds, int(str(written)) / 1000.0)
+            seconds = min(seconds, int(str(header)) / 1000.0)
         except ValueError:
             detail = "Damsonlane-Deadline-Ms must be a whole number of milliseconds"
             raise _problem("malformed", HTTPStatus.BAD_REQUEST, detail) from None
@@ -209,7 +209,7 @@
     return arrived_at + seconds
 
 
-def _plan_stages(
+def _resolve_stages(
     tree: Tree, data_centre: str, organisation: str, name: str
 ) -> tuple[StagePlan, ...]:
     plans = []
--- a/packages/damsonlaned/src/damsonlaned/entry/_request_runner.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_request_runner.py
@@ -1,4 +1,4 @@
-"""Carrying out what a request's run asks for."""
+"""Run requests: perform the effects that their state machines return."""
 
 import logging
 import secrets
@@ -25,9 +25,9 @@
     Wait,
 )
 from damsonlaned.clock import read_clock
-from damsonlaned.entry._control_link import Uplink
-from damsonlaned.entry._dispatcher import Dispatch
-from damsonlaned.entry._request_parser import TakenRequest
+from damsonlaned.entry._control_link import ControlLink
+from damsonlaned.entry._dispatcher import Dispatcher
+from damsonlaned.entry._request_parser import ParsedRequest
 
 _LOG: Final = logging.getLogger(__name__)
 
@@ -35,105 +35,108 @@
 class RequestRunner:
     """Runs requests, each in the thread of its caller."""
 
-    def __init__(self, uplink: Uplink, dispatch: Dispatch) -> None:
-        self._uplink: Final = uplink
-        self._dispatch: Final = dispatch
-        self._budget: Final = _SharedBudget()
+    def __init__(self, control: ControlLink, dispatcher: Dispatcher) -> None:
+        self._control: Final = control
+        self._dispatcher: Final = dispatcher
+        self._budget: Final = _ThreadSafeRetryBudget()
 
     def live_entries(self) -> int:
         """Return how many entries share the fleet's limits."""
-        return self._uplink.settings.live_entries
+        return self._control.settings.live_entries
 
-    def count_ending(self, taken: TakenRequest, ending: Ending) -> None:
-        """Count how a request ended, for the report on burn."""
-        request = taken.request
-        self._uplink.accounts.count_ending(
+    def count_completion(self, parsed: ParsedRequest, outcome: Ending) -> None:
+        """Count a completed request, from which the burn rate is computed."""
+        request = parsed.request
+        self._control.usage.count_completion(
             request.organisation,
             request.pipeline,
-            is_attained=not isinstance(ending, Refusal) and read_clock() <= request.due_at,
+            is_attained=not isinstance(outcome, Refusal) and read_clock() <= request.due_at,
         )
 
-    def find_held(self, taken: TakenRequest) -> HeldRequest | None:
-        """Return a request as it is held, or None if it may go to targets."""
-        return self._uplink.quarantine.find_held(_find_fingerprint(taken))
+    def find_quarantined(self, parsed: ParsedRequest) -> HeldRequest | None:
+        """Return the record of a quarantined request, or None if it may be sent to targets."""
+        return self._control.quarantine.find_quarantined(_find_fingerprint(parsed))
 
-    def forecast(self, taken: TakenRequest) -> float:
+    def forecast(self, parsed: ParsedRequest) -> float:
         """Return the predicted seconds of a request."""
-        return self._dispatch.forecast(taken.request, taken.settings)
+        return self._dispatcher.forecast(parsed.request, parsed.settings)
 
-    def run(self, taken: TakenRequest) -> Generator[str, None, Billed]:
-        """Run a request, yielding pieces of the last stage's output if it is streamed."""
-        run = RequestRun(
-            taken.request,
-            token=self._uplink.holder.make_token(secrets.token_hex(8)),
+    def run(self, parsed: ParsedRequest) -> Generator[str, None, Billed]:
+        """Run a request, yielding parts of the last stage's output if it is streamed."""
+        machine = RequestRun(
+            parsed.request,
+            token=self._control.holder.make_token(secrets.token_hex(8)),
             wall_clock=time.time(),
             budget=self._budget,
         )
-        effect = run.begin(read_clock())
+        effect = machine.begin(read_clock())
         while not isinstance(effect, End):
-            effect = yield from self._carry_out(run, effect, taken)
-        self._uplink.accounts.add_costs(effect.billed.costs)
+            effect = yield from self._perform(machine, effect, parsed)
+        self._control.usage.add_costs(effect.billed.costs)
         if isinstance(effect.billed.ending, Answer):
-            self._uplink.quarantine.note_served(_find_fingerprint(taken))
+            self._control.quarantine.record_served(_find_fingerprint(parsed))
         return effect.billed
 
-    def _carry_out(
-        self, run: RequestRun, effect: Effect, taken: TakenRequest
+    def _perform(
+        self, machine: RequestRun, effect: Effect, parsed: ParsedRequest
     ) -> Generator[str, None, Effect]:
         if isinstance(effect, Send):
-            return (yield from self._send(run, effect, taken))
+            return (yield from self._send(machine, effect, parsed))
         if isinstance(effect, AskLedger):
-            reply = self._uplink.jobs.ask(effect.command, effect.seconds)
-            return run.take_reply(read_clock(), reply)
+            reply = self._control.jobs.submit(effect.command, effect.seconds)
+            return machine.take_reply(read_clock(), reply)
         assert isinstance(effect, Wait)
         time.sleep(effect.seconds)
-        return run.resume(read_clock())
+        return machine.resume(read_clock())
 
-    def _is_hopeless(self, send: Send, taken: TakenRequest) -> bool:
-        """Tell whether what is left of a request that has run in part can't end in time."""
-        names = [stage.name for stage in taken.request.stages]
+    def _cannot_meet_deadline(self, send: Send, parsed: ParsedRequest) -> bool:
+        """Return whether the stages left of a partly run request cannot complete in time."""
+        names = [stage.name for stage in parsed.request.stages]
         first = names.index(send.stage.name)
         if first == 0:
             return False
-        needed = self._dispatch.forecast(taken.request, taken.settings, first)
+        needed = self._dispatcher.forecast(parsed.request, parsed.settings, first)
         return needed > STAGE_SHARE * send.seconds
 
     def _send(
-        self, run: RequestRun, send: Send, taken: TakenRequest
+        self, machine: RequestRun, send: Send, parsed: ParsedRequest
     ) -> Generator[str, None, Effect]:
-        held = self.find_held(taken)
-        if held is not None:
-            return run.hold(read_clock(), describe_held(held))
-        if self._is_hopeless(send, taken):
-            return run.give_up(read_clock())
+        quarantined = self.find_quarantined(parsed)
+        if quarantined is not None:
+            return machine.hold(read_clock(), describe_quarantined(quarantined))
+        if self._cannot_meet_deadline(send, parsed):
+            return machine.give_up(read_clock())
         if send.key.number == 1:
             self._budget.count_first(send.stage.retry_share)
-        attempt = self._dispatch.send(
-            send, taken.settings, taken.request.pipeline, _find_fingerprint(taken)
+        attempt = self._dispatcher.send(
+            send, parsed.settings, parsed.request.pipeline, _find_fingerprint(parsed)
         )
         is_delivered = False
         while True:
             try:
-                piece = next(attempt)
+                part = next(attempt)
             except StopIteration as stop:
                 target, result = stop.value
                 break
-            if send.is_last and taken.is_streaming:
+            if send.is_last and parsed.is_streaming:
                 is_delivered = True
-                yield piece
-        _log_attempt(send, taken.request.pipeline, target, result)
+                yield part
+        _log_attempt(send, parsed.request.pipeline, target, result)
         result = replace(result, is_delivered=is_delivered)
-        return run.take_result(read_clock(), target, result)
+        return machine.take_result(read_clock(), target, result)
 
 
-def describe_held(held: HeldRequest) -> str:
-    """Return why a request is kept from targets, as its caller is told."""
-    return f"{held.ends} targets ended while they had this request"
+def describe_quarantined(quarantined: HeldRequest) -> str:
+    """Return the reason for the quarantine of a request, for its caller."""
+    return f"{quarantined.ends} targets ended while they had this request"
 
 
-def _find_fingerprint(taken: TakenRequest) -> str:
-    """Return what makes two requests of one organisation the same, whatever their keys."""
-    request = taken.request
+def _find_fingerprint(parsed: ParsedRequest) -> str:
+    """Return the fingerprint that identical requests of one organisation share.
+
+    It does not depend on their idempotency keys.
+    """
+    request = parsed.request
     return find_fingerprint(
         organisation=request.organisation,
         method="",
@@ -143,8 +146,8 @@
     )
 
 
-class _SharedBudget(RetryBudget):
-    """The retry budget of an entry, safe for many threads."""
+class _ThreadSafeRetryBudget(RetryBudget):
+    """The retry budget of an entry; safe for use by many threads."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/packages/damsonlaned/src/damsonlaned/entry/_settings_follower.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_settings_follower.py
@@ -1,4 +1,4 @@
-"""Keeping the settings in force current: from control, and from other entries."""
+"""Keep the settings in force current, from control and from other entries."""
 
 import asyncio
 import contextlib
@@ -28,33 +28,33 @@
     open_channel,
 )
 from damsonlane_rpc import SettingsView as SettingsReply
-from damsonlaned.entry._draining_targets import LeavingTargets
+from damsonlaned.entry._draining_targets import DrainingTargets
 from damsonlaned.entry._settings_view import SettingsView
 from damsonlaned.quarantine import KnownQuarantine
 
 _LOG: Final = logging.getLogger(__name__)
 
-#: Seconds between reports of the version in force.
+#: Seconds between reports of the version in force to control.
 REPORT_SECONDS: Final = 2.0
-#: Seconds without word after which another control replica is tried.
-SILENCE_SECONDS: Final = 6.0
-#: Seconds between questions to a peer.
+#: Seconds without an update after which another control replica is tried.
+UPDATE_TIMEOUT_SECONDS: Final = 6.0
+#: Mean time between requests to peers, and the time-out of one, in seconds.
 PEER_SECONDS: Final = 5.0
-#: Seconds to wait before control is asked again.
-PAUSE_SECONDS: Final = 0.2
-#: Seconds for which one question to control may take.
-CALL_SECONDS: Final = 5.0
+#: Seconds before control is contacted again.
+RECONNECT_SECONDS: Final = 0.2
+#: Time-out of one query to control, in seconds.
+QUERY_TIMEOUT_SECONDS: Final = 5.0
 
 
-class SettingsLink:
-    """Follows one control replica by a stream and asks peers now and then.
+class SettingsFollower:
+    """Follows one control replica by a stream, and compares settings with peers periodically.
 
     Args:
         settings: settings of the box.
         holder: this process.
         client: client of control, used on the running loop.
         view: where newer settings are put in force.
-        leaving: targets that are known to be leaving.
+        draining: targets that are known to be draining.
         context: TLS context towards other boxes, or None.
     """
 
@@ -64,32 +64,32 @@
         holder: Holder,
         client: ControlClient,
         view: SettingsView,
-        leaving: LeavingTargets,
+        draining: DrainingTargets,
         context: ssl.SSLContext | None,
     ) -> None:
         self._settings: Final = settings
         self._holder: Final = holder
         self._client: Final = client
         self._view: Final = view
-        self._leaving: Final = leaving
+        self._draining: Final = draining
         self._context: Final = context
         self._started_at: Final = time.time()
         self._report_due: Final = asyncio.Event()
-        self._told_peers: tuple[str, ...] = ()
-        self._is_leaving = False
+        self._reported_peers: tuple[str, ...] = ()
+        self._is_draining = False
         self._tasks: list[asyncio.Task[None]] = []
-        #: How many entries share the fleet's limits, as control last said.
+        #: How many entries share the fleet's limits, as control last reported.
         self.live_entries = 1
-        #: Which requests are kept from targets.
+        #: The quarantined requests that control lists.
         self.quarantine: Final = KnownQuarantine()
-        #: Takes the rate limits that targets named, as control tells them.
-        self.take_rate_limits: Callable[[RateLimitList], None] = lambda _: None
+        #: Called with the rate limits of targets that control lists.
+        self.on_rate_limits: Callable[[RateLimitList], None] = lambda _: None
 
     def start(self) -> None:
         """Start following."""
         self._tasks = [
             asyncio.create_task(self._follow()),
-            asyncio.create_task(self._ask_peers()),
+            asyncio.create_task(self._compare_with_peers()),
         ]
 
     async def stop(self) -> None:
@@ -98,12 +98,12 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def announce_leaving(self) -> None:
-        """Tell control that this box takes no new requests."""
-        self._is_leaving = True
+    def announce_draining(self) -> None:
+        """Report to control that this box accepts no new requests."""
+        self._is_draining = True
         self._report_due.set()
 
-    # Control.
+    # Following control.
 
     async def _follow(self) -> None:
         while True:
@@ -111,11 +111,13 @@
                 await self._read_confirmed()
                 await self._watch(random.choice(self._settings.control))
             except (UnavailableError, TimeoutError, *CALL_FAULTS) as error:
-                _LOG.warning("lost control", extra={"fault": str(error) or type(error).__name__})
-            await asyncio.sleep(PAUSE_SECONDS)
+                _LOG.warning(
+                    "lost contact with control", extra={"fault": str(error) or type(error).__name__}
+                )
+            await asyncio.sleep(RECONNECT_SECONDS)
 
     async def _read_confirmed(self) -> None:
-        reply = await self._client.query(QueryRequest(query=SettingsQuery()), CALL_SECONDS)
+        reply = await self._client.query(QueryRequest(query=SettingsQuery()), QUERY_TIMEOUT_SECONDS)
         if isinstance(reply.outcome, SettingsReply):
             self._view.replace(reply.outcome.version, reply.outcome.document)
             if not self._view.is_confirmed:
@@ -129,30 +131,30 @@
                 await stream.send_message(self._report())
                 reporter = asyncio.create_task(self._send_reports(stream))
                 try:
-                    await self._take_updates(stream)
+                    await self._apply_updates(stream)
                 finally:
                     reporter.cancel()
                     await asyncio.gather(reporter, return_exceptions=True)
         finally:
             channel.close()
 
-    async def _take_updates(self, stream: Stream[WatchReport, WatchUpdate]) -> None:
+    async def _apply_updates(self, stream: Stream[WatchReport, WatchUpdate]) -> None:
         while True:
-            update = await asyncio.wait_for(stream.recv_message(), SILENCE_SECONDS)
+            update = await asyncio.wait_for(stream.recv_message(), UPDATE_TIMEOUT_SECONDS)
             if update is None or not update.is_current:
                 return
             self.live_entries = max(1, update.live_entries)
-            self._told_peers = update.peers
+            self._reported_peers = update.peers
             if update.quarantine is not None:
                 self.quarantine.put(update.quarantine)
             if update.rate_limits is not None:
-                self.take_rate_limits(update.rate_limits)
-            self._take_settings(update)
+                self.on_rate_limits(update.rate_limits)
+            self._apply_settings(update)
             if update.version > self._view.current.version:
-                # The changes did not fit, so the whole tree must be read again.
+                # The changes do not continue the version in force, so the whole tree must be read.
                 return
 
-    def _take_settings(self, update: WatchUpdate) -> None:
+    def _apply_settings(self, update: WatchUpdate) -> None:
         if update.document is not None:
             is_newer = self._view.replace(update.version, update.document)
         else:
@@ -176,28 +178,28 @@
             version=self._view.current.version,
             started_at=self._started_at,
             address=self._settings.internal_address,
-            is_leaving=self._is_leaving,
+            is_leaving=self._is_draining,
         )
 
-    # Peers.
+    # Comparing with peers.
 
-    async def _ask_peers(self) -> None:
+    async def _compare_with_peers(self) -> None:
         while True:
             await asyncio.sleep(PEER_SECONDS * random.uniform(0.75, 1.25))
-            peers = set(self._settings.peers or self._told_peers)
+            peers = set(self._settings.peers or self._reported_peers)
             peers.discard(self._settings.internal_address)
             if peers and self._view.is_confirmed:
-                await self._ask_peer(random.choice(sorted(peers)))
+                await self._compare_with_peer(random.choice(sorted(peers)))
 
-    async def _ask_peer(self, address: str) -> None:
-        """Take newer settings from a peer and tell each other which targets are leaving."""
+    async def _compare_with_peer(self, address: str) -> None:
+        """Apply newer settings of a peer, and exchange lists of draining targets."""
         channel = open_channel(address, self._context)
-        request = PeerRequest(version=self._view.current.version, leaving=self._leaving.list())
+        request = PeerRequest(version=self._view.current.version, leaving=self._draining.list_all())
         try:
             reply = await COMPARE.unary(channel)(request, timeout=PEER_SECONDS)
             if reply.update is not None:
-                self._take_settings(reply.update)
-            self._leaving.learn(reply.leaving)
+                self._apply_settings(reply.update)
+            self._draining.merge(reply.leaving)
         except CALL_FAULTS as error:
             _LOG.debug("peer does not answer", extra={"fault": str(error)})
         finally:
--- a/packages/damsonlaned/src/damsonlaned/entry/_settings_view.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_settings_view.py
@@ -26,7 +26,7 @@
 
 
 class SettingsView:
-    """Holds the version in force, which only rises; safe for many threads."""
+    """Holds the settings in force, whose version only rises; safe for use by many threads."""
 
     def __init__(self) -> None:
         self._current = SettingsInForce()
@@ -39,7 +39,7 @@
         return self._current
 
     def replace(self, version: int, document: JsonValue) -> bool:
-        """Put a whole tree in force if it is newer; tell whether it was."""
+        """Put a whole tree in force if it is newer; return whether it was."""
         with self._lock:
             if version <= self._current.version:
                 return False
@@ -47,9 +47,9 @@
             return True
 
     def merge(self, changes: tuple[AcceptedChange, ...]) -> bool:
-        """Put further changes in force; tell whether they reached past the current version.
+        """Put further changes in force; return whether any is newer than the current version.
 
-        Changes that do not follow on the current version are left alone.
+        Changes that do not continue the current version are ignored.
         """
         with self._lock:
             current = self._current
@@ -61,7 +61,7 @@
             return True
 
     def confirm(self) -> None:
-        """Note that a quorum confirmed a version since this process started."""
+        """Record that a quorum confirmed a version since this process started."""
         self.is_confirmed = True
 
 
--- a/packages/damsonlaned/src/damsonlaned/entry/_target_backoff.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_target_backoff.py
@@ -1,4 +1,4 @@
-"""Targets of pipelines that asked this box for rest."""
+"""Back-off that targets of pipelines requested from this box."""
 
 import logging
 import random
@@ -13,51 +13,55 @@
 _LOG: Final = logging.getLogger(__name__)
 
 
-class RestingTargets:
-    """How long targets want nothing from this box; safe for many threads."""
+class TargetBackoff:
+    """Records for how long targets back off; safe for use by many threads."""
 
     def __init__(self) -> None:
-        self._book: Final = BackoffBook()
+        self._table: Final = BackoffBook()
         self._randomness: Final = random.Random()
         self._lock: Final = threading.Lock()
 
-    def note(self, service: str, target: str, address: str, seconds: float, boxes: int) -> None:
-        """Note that a target wants nothing for a while.
+    def record(self, service: str, target: str, address: str, seconds: float, boxes: int) -> None:
+        """Record that a target requested back-off.
 
         Args:
-            service: its service.
-            target: its name.
-            address: its address.
-            seconds: for how long.
-            boxes: how many boxes send to it.
+            service: service of the target.
+            target: name of the target.
+            address: address of the target.
+            seconds: duration of the back-off.
+            boxes: number of boxes that send to the target.
         """
         with self._lock:
             spread = find_spread_seconds(seconds, boxes, self._randomness)
-            self._book.note(_name(service, target, address), seconds, read_clock(), spread)
+            self._table.note(
+                _make_incarnation(service, target, address), seconds, read_clock(), spread
+            )
         fields = {"service": service, "target": target, "seconds": seconds}
-        _LOG.info("back-off asked", extra={**fields, "spread": round(spread, 3)})
+        _LOG.info("target requested back-off", extra={**fields, "spread": round(spread, 3)})
 
     def seconds_left(self, service: str, target: str, address: str) -> float:
-        """Return for how long a target wants nothing; 0 if it takes requests."""
+        """Return the seconds until the back-off of a target ends; 0 if it requested none."""
         with self._lock:
-            return self._book.seconds_left(_name(service, target, address), read_clock())
+            return self._table.seconds_left(
+                _make_incarnation(service, target, address), read_clock()
+            )
 
-    def list_resting(self, service: str, standings: Mapping[str, Standing]) -> frozenset[str]:
-        """Return the targets of a service that want nothing for now."""
+    def list_backing_off(self, service: str, locations: Mapping[str, Standing]) -> frozenset[str]:
+        """Return those of some targets of a service that back off now."""
         return frozenset(
             name
-            for name, standing in standings.items()
-            if self.seconds_left(service, name, standing.address) > 0
+            for name, location in locations.items()
+            if self.seconds_left(service, name, location.address) > 0
         )
 
-    def find_return_seconds(self, service: str, standings: Mapping[str, Standing]) -> float:
-        """Return how long all of some targets want nothing; 0 if one takes requests."""
-        lefts = (
-            self.seconds_left(service, name, standing.address)
-            for name, standing in standings.items()
+    def find_backoff_seconds(self, service: str, locations: Mapping[str, Standing]) -> float:
+        """Return the seconds until the back-off of one of some targets ends; 0 if one has none."""
+        seconds = (
+            self.seconds_left(service, name, location.address)
+            for name, location in locations.items()
         )
-        return min(lefts, default=0.0)
+        return min(seconds, default=0.0)
 
 
-def _name(service: str, target: str, address: str) -> TargetStart:
+def _make_incarnation(service: str, target: str, address: str) -> TargetStart:
     return TargetStart(target=f"{service}/{target}", address=address)
--- a/packages/damsonlaned/src/damsonlaned/entry/_thread_safe_quarantine.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_thread_safe_quarantine.py
@@ -1,4 +1,4 @@
-"""Requests that end targets, as the callers' threads ask and tell of them."""
+"""Access of callers' threads to the quarantine of requests under which targets exit."""
 
 import asyncio
 import concurrent.futures
@@ -16,56 +16,59 @@
 
 _LOG: Final = logging.getLogger(__name__)
 
-#: Seconds for which a thread waits until it is known whether a target ended, and control told.
-TELL_SECONDS: Final = 0.5
+#: Seconds for which a thread waits until it is known whether a target exited, and until an exit
+#: is reported to control.
+REPORT_TIMEOUT_SECONDS: Final = 0.5
 
 
-class ThreadQuarantine:
-    """Carries what callers' threads ask and tell to the loop of the process.
+class ThreadSafeQuarantine:
+    """Gives callers' threads access to a quarantine on the event loop of the process.
 
     Args:
-        quarantine: used on the running loop.
+        quarantine: the quarantine, used on the running loop.
     """
 
     def __init__(self, quarantine: Quarantine) -> None:
         self._quarantine: Final = quarantine
         self._loop: Final = asyncio.get_running_loop()
 
-    def find_held(self, fingerprint: str) -> HeldRequest | None:
-        """Return a request as it is held, or None if it may go to targets."""
-        # Only whole lists, which are never changed, are read here, so any thread may.
+    def find_quarantined(self, fingerprint: str) -> HeldRequest | None:
+        """Return the record of a quarantined request, or None if it may be sent to targets."""
+        # Any thread may read: lists are replaced as a whole and never modified.
         return self._quarantine.find_held(fingerprint)
 
-    def note_broken(self, lost: LostTarget, run: BrokenRun) -> None:
-        """Have it found out whether a target ended under a request, and control told."""
-        future = asyncio.run_coroutine_threadsafe(self._note_broken(lost, run), self._loop)
+    def report_interrupted(self, lost: LostTarget, run: BrokenRun) -> None:
+        """Find out whether a target exited under a request, and report an exit to control."""
+        future = asyncio.run_coroutine_threadsafe(self._check_exit(lost, run), self._loop)
         try:
-            future.result(TELL_SECONDS)
+            future.result(REPORT_TIMEOUT_SECONDS)
         except concurrent.futures.TimeoutError:
-            _LOG.info("not known in time whether a target ended", extra={"target": lost.target})
+            _LOG.info(
+                "could not determine in time whether a target exited", extra={"target": lost.target}
+            )
 
-    def note_served(self, fingerprint: str) -> None:
-        """Note a request that was served to a good end."""
+    def record_served(self, fingerprint: str) -> None:
+        """Record a request that was served successfully."""
         self._loop.call_soon_threadsafe(self._quarantine.note_served, fingerprint)
 
     async def stop(self) -> None:
-        """Tell control no more."""
+        """Stop reporting to control."""
         await self._quarantine.stop()
 
-    async def _note_broken(self, lost: LostTarget, run: BrokenRun) -> None:
+    async def _check_exit(self, lost: LostTarget, run: BrokenRun) -> None:
         if await refuses_connections(lost.address):
-            await self._take_end(lost, run)
+            await self._record_exit(lost, run)
         else:
-            start_task(self._look_later(lost, run), "looking for a target again")
+            start_task(self._probe_later(lost, run), "probing a target again")
 
-    async def _look_later(self, lost: LostTarget, run: BrokenRun) -> None:
-        """Look once more: a process that ends may still listen for a moment."""
+    async def _probe_later(self, lost: LostTarget, run: BrokenRun) -> None:
+        """Probe once more: a process that exits may still listen for a moment."""
         await asyncio.sleep(LOOK_AGAIN_SECONDS)
         if await refuses_connections(lost.address):
-            await self._take_end(lost, run)
+            await self._record_exit(lost, run)
 
-    async def _take_end(self, lost: LostTarget, run: BrokenRun) -> None:
+    async def _record_exit(self, lost: LostTarget, run: BrokenRun) -> None:
         fields = {"target": lost.target, "address": lost.address}
-        _LOG.warning("target ended", extra={**fields, "fingerprints": [run.fingerprint]})
+        _LOG.warning("target exited", extra={**fields, "fingerprints": [run.fingerprint]})
         self._quarantine.take_end(lost, (run,))
         await self._quarantine.settle(run.fingerprint)
--- a/packages/damsonlaned/src/damsonlaned/entry/_usage_reporter.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_usage_reporter.py
@@ -1,4 +1,4 @@
-"""Cost lines and counts of endings on their way to control, each counted there once."""
+"""Report cost lines and counts of completed requests to control, which counts each once."""
 
 import asyncio
 import itertools
@@ -14,27 +14,27 @@
 
 #: Seconds between batches.
 BATCH_SECONDS: Final = 0.5
-#: Most cost lines in one batch.
+#: Largest number of cost lines in one batch.
 LINES_PER_BATCH: Final = 2_000
-#: Seconds to wait before a batch is sent again.
-PAUSE_SECONDS: Final = 0.2
-#: Seconds that one attempt to send may take.
-CALL_SECONDS: Final = 5.0
+#: Seconds before a batch is sent again.
+RETRY_SECONDS: Final = 0.2
+#: Time-out of sending a batch once, in seconds.
+SUBMIT_TIMEOUT_SECONDS: Final = 5.0
 
 
-class Accounts:
-    """Collects from the callers' threads and sends batches in order.
+class UsageReporter:
+    """Collects costs and counts from callers' threads and sends them in batches, in order.
 
     Args:
         client: client of control, used on the running loop.
-        sender: name of this process, never used by another.
+        sender: name of this process, never used by another one.
     """
 
     def __init__(self, client: ControlClient, sender: str) -> None:
         self._client: Final = client
         self._sender: Final = sender
         self._lines: list[CostLine] = []
-        self._endings: dict[str, EndingCount] = {}
+        self._completions: dict[str, EndingCount] = {}
         self._lock: Final = threading.Lock()
         self._batches: Final = itertools.count(1)
         self._is_stopping = False
@@ -45,10 +45,10 @@
         self._task = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
-        """Send what is left, for as long as one call may take, and stop."""
+        """Send what is left, within the time-out of one submission, and stop."""
         self._is_stopping = True
         if self._task is not None:
-            done, _ = await asyncio.wait([self._task], timeout=CALL_SECONDS)
+            done, _ = await asyncio.wait([self._task], timeout=SUBMIT_TIMEOUT_SECONDS)
             if not done:
                 self._task.cancel()
 
@@ -57,8 +57,8 @@
         with self._lock:
             self._lines.extend(lines)
 
-    def count_ending(self, organisation: str, pipeline: str, *, is_attained: bool) -> None:
-        """Count how a request ended."""
+    def count_completion(self, organisation: str, pipeline: str, *, is_attained: bool) -> None:
+        """Count a completed request."""
         now = int(time.time())
         count = EndingCount(
             organisation=organisation,
@@ -70,13 +70,13 @@
         )
         name = f"{organisation}/{pipeline}/{count.start}"
         with self._lock:
-            known = self._endings.get(name)
-            self._endings[name] = known.with_more(count) if known else count
+            known = self._completions.get(name)
+            self._completions[name] = known.with_more(count) if known else count
 
     async def _run(self) -> None:
         while True:
             is_last = self._is_stopping
-            command = self._take_batch()
+            command = self._pop_batch()
             if command is not None:
                 await self._send(command)
             elif is_last:
@@ -84,25 +84,25 @@
             else:
                 await asyncio.sleep(BATCH_SECONDS)
 
-    def _take_batch(self) -> RecordCosts | None:
+    def _pop_batch(self) -> RecordCosts | None:
         with self._lock:
             lines = tuple(self._lines[:LINES_PER_BATCH])
             del self._lines[:LINES_PER_BATCH]
-            endings = tuple(self._endings.values())
-            self._endings.clear()
-        if not lines and not endings:
+            completions = tuple(self._completions.values())
+            self._completions.clear()
+        if not lines and not completions:
             return None
         return RecordCosts(
-            sender=self._sender, batch=next(self._batches), lines=lines, endings=endings
+            sender=self._sender, batch=next(self._batches), lines=lines, endings=completions
         )
 
     async def _send(self, command: RecordCosts) -> None:
-        """Send a batch until control has recorded it."""
+        """Send a batch repeatedly until control has recorded it."""
         while True:
             try:
-                replies = await self._client.submit([command], CALL_SECONDS)
+                replies = await self._client.submit([command], SUBMIT_TIMEOUT_SECONDS)
             except UnavailableError:
-                await asyncio.sleep(PAUSE_SECONDS)
+                await asyncio.sleep(RETRY_SECONDS)
                 continue
             if isinstance(replies[0], CostsRecorded) and replies[0].batch >= command.batch:
                 return
--- a/packages/damsonlaned/src/damsonlaned/entry/tests/test_backoff.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/tests/test_backoff.py
@@ -1,9 +1,6 @@
-"""Targets of pipelines that ask for rest or say that they leave, over real connections.
+"""Guards against requests to pipeline targets that requested back-off or are draining.
 
-The entry of routes went on sending to targets that had asked it for rest.  The entry of
-pipelines did the same: it read the header of a target that leaves only where that target
-refused, and how long a refusal lasts nowhere.  Of 40 requests a target got 4 though it
-had asked for ten minutes, and where all targets asked it was called again all the same.
+Targets announce both in headers of their responses, which are read over real connections.
 """
 
 import json
@@ -17,12 +14,12 @@
 
 from damsonlane.requests import AttemptKey, AttemptResult, Request, Send, StagePlan
 from damsonlane.settings import Tree, check_tree
-from damsonlaned.entry._dispatcher import Dispatch
-from damsonlaned.entry._draining_targets import LeavingTargets
+from damsonlaned.entry._dispatcher import Dispatcher
+from damsonlaned.entry._draining_targets import DrainingTargets
 from damsonlaned.entry._settings_view import SettingsInForce
 
-#: Seconds for which targets ask for rest: longer than any test takes.
-REST = 600.0
+#: Back-off that targets request, in seconds; longer than any test takes.
+BACKOFF_SECONDS = 600.0
 REQUESTS = 40
 STAGE = StagePlan(name="encode", service="encode", attempts=1, routing="paced")
 KEY = AttemptKey(request="r", organisation="o", stage="encode", number=1)
@@ -30,8 +27,8 @@
 REQUEST = Request(request="r", organisation="o", pipeline="p", text="", due_at=0.0, stages=(STAGE,))
 
 
-class StandIn:
-    """A target on a port of its own that answers each request alike, and counts them."""
+class FakeTarget:
+    """A target on a port of its own that sends the same response to each request it counts."""
 
     def __init__(self, status: int, **headers: str) -> None:
         self.count = 0
@@ -45,7 +42,7 @@
 
             def do_POST(self) -> None:
                 self.rfile.read(int(self.headers["Content-Length"]))
-                target.note()
+                target.record_request()
                 self.send_response(status)
                 for name, value in headers.items():
                     self.send_header(name.replace("_", "-"), value)
@@ -54,7 +51,7 @@
                 self.wfile.write(body)
 
             def log_message(self, *_: object) -> None:
-                """Say nothing."""
+                """Suppress the log lines of the server."""
 
         self._server = ThreadingHTTPServer(("127.0.0.1", 0), Handler)
         self._server.daemon_threads = True
@@ -65,8 +62,8 @@
     def address(self) -> str:
         return f"127.0.0.1:{self._server.server_port}"
 
-    def note(self) -> None:
-        """Count a request that came."""
+    def record_request(self) -> None:
+        """Count a request."""
         self.count += 1
 
     def stop(self) -> None:
@@ -77,46 +74,51 @@
 
 class PipelineBackoffTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.dispatch = Dispatch("one", LeavingTargets(), mock.Mock())
-        self.addCleanup(self.dispatch.close)
+        self.dispatcher = Dispatcher("one", DrainingTargets(), mock.Mock())
+        self.addCleanup(self.dispatcher.close)
 
-    def start(self, **targets: StandIn) -> SettingsInForce:
-        written: dict[str, JsonValue] = {}
+    def make_settings(self, **targets: FakeTarget) -> SettingsInForce:
+        entries: dict[str, JsonValue] = {}
         for name, target in targets.items():
             self.addCleanup(target.stop)
-            written[name] = {"address": target.address, "data_centre": "one"}
-        tree = check_tree({"services": {"encode": {"kind": "pool", "targets": written}}})
+            entries[name] = {"address": target.address, "data_centre": "one"}
+        tree = check_tree({"services": {"encode": {"kind": "pool", "targets": entries}}})
         assert isinstance(tree, Tree)
         return SettingsInForce(version=1, tree=tree)
 
     def send(self, settings: SettingsInForce) -> AttemptResult:
-        return run(self.dispatch.send(SEND, settings, "p", "f"))
-
-    def test_a_target_that_asks_for_rest_gets_nothing_more(self) -> None:
-        asking, working = StandIn(503, Retry_After=f"{REST:.0f}"), StandIn(200)
-        settings = self.start(asking=asking, working=working)
+        return run_attempt(self.dispatcher.send(SEND, settings, "p", "f"))
+
+    def test_a_target_that_requests_back_off_gets_no_more_requests(self) -> None:
+        backing_off, working = (
+            FakeTarget(503, Retry_After=f"{BACKOFF_SECONDS:.0f}"),
+            FakeTarget(200),
+        )
+        settings = self.make_settings(backing_off=backing_off, working=working)
         outcomes = [self.send(settings).outcome for _ in range(REQUESTS)]
-        self.assertLessEqual(asking.count, 1, outcomes)
-        self.assertEqual(outcomes.count("answered"), REQUESTS - asking.count)
-
-    def test_a_target_that_says_it_leaves_with_a_good_answer_gets_nothing_more(self) -> None:
-        leaving, working = StandIn(200, Damsonlane_Leaving="1"), StandIn(200)
-        settings = self.start(leaving=leaving, working=working)
+        self.assertLessEqual(backing_off.count, 1, outcomes)
+        self.assertEqual(outcomes.count("answered"), REQUESTS - backing_off.count)
+
+    def test_a_target_that_announces_draining_with_a_200_gets_no_more_requests(
+        self,
+    ) -> None:
+        draining, working = FakeTarget(200, Damsonlane_Leaving="1"), FakeTarget(200)
+        settings = self.make_settings(draining=draining, working=working)
         outcomes = [self.send(settings).outcome for _ in range(REQUESTS)]
         self.assertEqual(set(outcomes), {"answered"})
-        self.assertLessEqual(leaving.count, 1)
+        self.assertLessEqual(draining.count, 1)
 
-    def test_callers_are_told_the_time_when_all_targets_rest(self) -> None:
-        settings = self.start(one=StandIn(503, Retry_After=f"{REST:.0f}"))
+    def test_callers_get_a_retry_after_while_all_targets_back_off(self) -> None:
+        settings = self.make_settings(one=FakeTarget(503, Retry_After=f"{BACKOFF_SECONDS:.0f}"))
         self.send(settings)
         result = self.send(settings)
         self.assertEqual(result.outcome, "unsent")
-        self.assertGreater(result.retry_after, REST / 2)
-        # Refused on arrival, before its earlier stages are made.
-        self.assertGreater(self.dispatch.forecast(REQUEST, settings), REST / 2)
+        self.assertGreater(result.retry_after, BACKOFF_SECONDS / 2)
+        # A request is refused on arrival, before any of its stages runs.
+        self.assertGreater(self.dispatcher.forecast(REQUEST, settings), BACKOFF_SECONDS / 2)
 
 
-def run(attempt: Generator[str, None, tuple[str, AttemptResult]]) -> AttemptResult:
+def run_attempt(attempt: Generator[str, None, tuple[str, AttemptResult]]) -> AttemptResult:
     while True:
         try:
             next(attempt)
--- a/packages/damsonlaned/src/damsonlaned/entry/tests/test_dispatcher.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/tests/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Dispatch while settings change under requests."""
+"""Choice of targets while settings change and while a target rejects requests."""
 
 import unittest
 from collections.abc import Callable, Generator
@@ -8,8 +8,8 @@
 
 from damsonlane.requests import AttemptKey, AttemptResult, Request, Send, StagePlan
 from damsonlane.settings import Tree, check_tree
-from damsonlaned.entry._dispatcher import Dispatch
-from damsonlaned.entry._draining_targets import LeavingTargets
+from damsonlaned.entry._dispatcher import Dispatcher
+from damsonlaned.entry._draining_targets import DrainingTargets
 from damsonlaned.entry._settings_view import SettingsInForce
 from damsonlaned.targets import KINDS, Connections, Pool, TargetCall, TargetNotice, TargetReply
 
@@ -36,34 +36,34 @@
     return SettingsInForce(version=version, tree=tree)
 
 
-class DispatchTest(unittest.TestCase):
-    def test_a_request_under_older_settings_brings_no_removed_target_back(self) -> None:
-        dispatch = Dispatch("one", LeavingTargets(), mock.Mock())
+class DispatcherTest(unittest.TestCase):
+    def test_a_request_under_older_settings_does_not_restore_a_removed_target(self) -> None:
+        dispatcher = Dispatcher("one", DrainingTargets(), mock.Mock())
         request = Request(
             request="r", organisation="o", pipeline="p", text="", due_at=0, stages=(_STAGE,)
         )
         old, new = _settings(1, "removed"), _settings(2, "added")
         for settings in (old, new, old):
-            dispatch.forecast(request, settings)
-        self.assertEqual(self._send(dispatch, old), "added")
+            dispatcher.forecast(request, settings)
+        self.assertEqual(self._send(dispatcher, old), "added")
 
-    def test_a_target_that_refuses_at_once_does_not_draw_all_requests(self) -> None:
-        """It never has anything in flight, so by that alone it would always be chosen."""
-        dispatch = Dispatch("one", LeavingTargets(), mock.Mock())
+    def test_a_target_that_rejects_at_once_does_not_attract_all_requests(self) -> None:
+        """It never has a request in flight, so by that alone it would always be chosen."""
+        dispatcher = Dispatcher("one", DrainingTargets(), mock.Mock())
         settings = _settings(1, "refusing", "working")
-        with mock.patch.dict(KINDS, {"pool": _RefusingPool()}):
-            chosen = [self._send(dispatch, settings) for _ in range(40)]
+        with mock.patch.dict(KINDS, {"pool": _RejectingPool()}):
+            chosen = [self._send(dispatcher, settings) for _ in range(40)]
         self.assertLess(chosen.count("refusing"), 6)
 
-    def _send(self, dispatch: Dispatch, settings: SettingsInForce) -> str:
-        attempt = dispatch.send(_SEND, settings, "p", "f")
+    def _send(self, dispatcher: Dispatcher, settings: SettingsInForce) -> str:
+        attempt = dispatcher.send(_SEND, settings, "p", "f")
         with self.assertRaises(StopIteration) as stopped:
             next(attempt)
         return str(stopped.exception.value[0])
 
 
-class _RefusingPool(Pool):
-    """Refuses at the first port and answers at any other."""
+class _RejectingPool(Pool):
+    """Rejects at the first port and answers at any other."""
 
     def call(
         self,
--- a/packages/damsonlaned/src/damsonlaned/entry/tests/test_rate_limits.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/tests/test_rate_limits.py
@@ -1,10 +1,7 @@
-"""A pipeline's target names how many requests a second it takes, and gets more.
+"""Guards against more requests to a pipeline target than the rate limit that it announced.
 
-The entries of routes read no limit that a target named for all boxes together, and the entries
-of pipelines read none either.  Of 40 requests that four boxes sent in a moment a target got 20
-to 24 though it had named one request in ten seconds, 8 where it turned them away, and where it
-was the only one it got all 40.  Their permits come from the leader of control, since these
-entries know no list of each other from which an owner could be chosen.
+A limit holds for all boxes together.  The leader of control issues the permits, since the entries
+of pipelines have no list of each other from which an owner could be chosen.
 """
 
 import itertools
@@ -21,60 +18,60 @@
 from damsonlane.requests import AttemptResult
 from damsonlane.settings import Tree, check_tree
 from damsonlane_rpc import PermitRequest
-from damsonlaned.entry._dispatcher import Dispatch
-from damsonlaned.entry._draining_targets import LeavingTargets
-from damsonlaned.entry._rate_limited_targets import LimitedTargets
+from damsonlaned.entry._dispatcher import Dispatcher
+from damsonlaned.entry._draining_targets import DrainingTargets
+from damsonlaned.entry._rate_limited_targets import RateLimitedTargets
 from damsonlaned.entry._settings_view import SettingsInForce
-from damsonlaned.entry.tests.test_backoff import REQUEST, SEND, StandIn, run
+from damsonlaned.entry.tests.test_backoff import REQUEST, SEND, FakeTarget, run_attempt
 
-#: Boxes before the same targets.
+#: Boxes that send to the same targets.
 BOXES = 4
-#: Requests of each box.
+#: Requests that each box sends.
 REQUESTS = 10
-#: Requests a second that the target takes.
+#: Rate limit of the target, in requests a second.
 RATE = 0.1
 #: Seconds over which requests are counted.
 WINDOW = 4.0
-#: Requests that a target may get in that time: one and a half times its rate, and five more.
+#: Requests that the target may get in that time: one and a half times its rate, and five more.
 ALLOWED = 1.5 * RATE * WINDOW + 5
-#: A sending for which any target is as good as the others.
-ANY = replace(SEND, stage=replace(SEND.stage, routing="random"))
+#: An attempt for which all targets are equally good.
+SEND_TO_ANY = replace(SEND, stage=replace(SEND.stage, routing="random"))
 
 
-class Leader:
+class ControlLeader:
     """Issues permits to all boxes, as the leader of control does."""
 
     def __init__(self) -> None:
-        self._book = RateLimitBook()
-        self._issuer = PermitIssuer(self._book)
+        self._table = RateLimitBook()
+        self._issuer = PermitIssuer(self._table)
         self._lock = threading.Lock()
 
-    def ask(self, request: PermitRequest) -> tuple[Permit, ...] | None:
+    def request_permits(self, request: PermitRequest) -> tuple[Permit, ...] | None:
         now = time.monotonic()
         with self._lock:
-            for word in request.words:
-                self._book.note(word, now)
+            for report in request.words:
+                self._table.note(report, now)
             return tuple(
                 self._issuer.issue(request.service, order, 1.0, now) for order in request.orders
             )
 
-    def tell(self, word: RateWord) -> None:
-        self.ask(PermitRequest(words=(word,)))
+    def report(self, report: RateWord) -> None:
+        self.request_permits(PermitRequest(words=(report,)))
 
 
-class Limited(StandIn):
-    """A target that names its limit in each answer, and notes when requests come."""
+class RateLimitedTarget(FakeTarget):
+    """A target that announces its limit in each response, and records when requests arrive."""
 
     def __init__(self, status: int = 200) -> None:
         super().__init__(status, Damsonlane_Rate_Limit=str(RATE))
         self.times: list[float] = []
 
-    def note(self) -> None:
-        super().note()
+    def record_request(self) -> None:
+        super().record_request()
         self.times.append(time.monotonic())
 
-    def count_most(self) -> int:
-        """Return the most requests that came in some four seconds."""
+    def count_most_in_window(self) -> int:
+        """Return the largest number of requests that arrived in any ``WINDOW`` seconds."""
         return max(
             (sum(begin <= at < begin + WINDOW for at in self.times) for begin in self.times),
             default=0,
@@ -84,58 +81,60 @@
 class PipelineRateLimitTest(unittest.TestCase):
     def setUp(self) -> None:
         self.versions = itertools.count(1)
-        self.leader = Leader()
+        self.leader = ControlLeader()
         self.boxes = [self.make_box() for _ in range(BOXES)]
 
-    def make_box(self) -> Dispatch:
-        limits = LimitedTargets(self.leader)
-        box = Dispatch("one", LeavingTargets(), mock.Mock(), limits=limits)
+    def make_box(self) -> Dispatcher:
+        limits = RateLimitedTargets(self.leader)
+        box = Dispatcher("one", DrainingTargets(), mock.Mock(), limits=limits)
         self.addCleanup(box.close)
         return box
 
-    def make_settings(self, **targets: StandIn) -> SettingsInForce:
-        written: dict[str, JsonValue] = {
+    def make_settings(self, **targets: FakeTarget) -> SettingsInForce:
+        entries: dict[str, JsonValue] = {
             name: {"address": target.address, "data_centre": "one"}
             for name, target in targets.items()
         }
-        tree = check_tree({"services": {"encode": {"kind": "pool", "targets": written}}})
+        tree = check_tree({"services": {"encode": {"kind": "pool", "targets": entries}}})
         assert isinstance(tree, Tree)
         return SettingsInForce(version=next(self.versions), tree=tree)
 
-    def send_all(self, box: Dispatch, settings: SettingsInForce) -> list[AttemptResult]:
-        return [run(box.send(ANY, settings, "p", "f")) for _ in range(REQUESTS)]
+    def send_all(self, box: Dispatcher, settings: SettingsInForce) -> list[AttemptResult]:
+        return [run_attempt(box.send(SEND_TO_ANY, settings, "p", "f")) for _ in range(REQUESTS)]
 
-    def play(self, limited: Limited, **others: StandIn) -> list[AttemptResult]:
-        """Tell all boxes of the limit, then have each send its requests; return the results."""
+    def send_from_all_boxes(
+        self, limited: RateLimitedTarget, **others: FakeTarget
+    ) -> list[AttemptResult]:
+        """Let all boxes learn the limit, then send the requests of each; return the results."""
         for target in (limited, *others.values()):
             self.addCleanup(target.stop)
-        alone = self.make_settings(limited=limited)
+        only_limited = self.make_settings(limited=limited)
         for box in self.boxes:
-            run(box.send(ANY, alone, "p", "f"))
+            run_attempt(box.send(SEND_TO_ANY, only_limited, "p", "f"))
         limited.times.clear()
         settings = self.make_settings(limited=limited, **others)
         with ThreadPoolExecutor(BOXES) as threads:
             sent = threads.map(lambda box: self.send_all(box, settings), self.boxes)
         return [result for results in sent for result in results]
 
-    def test_a_target_gets_no_more_than_it_names_from_all_boxes_together(self) -> None:
+    def test_all_boxes_together_keep_the_limit_of_a_target(self) -> None:
         for status in (200, 503):
             with self.subTest(status=status):
-                limited = Limited(status)
-                results = self.play(limited, working=StandIn(200))
-                self.assertLessEqual(limited.count_most(), ALLOWED)
+                limited = RateLimitedTarget(status)
+                results = self.send_from_all_boxes(limited, working=FakeTarget(200))
+                self.assertLessEqual(limited.count_most_in_window(), ALLOWED)
                 answered = [result for result in results if result.outcome == "answered"]
-                refused = len(limited.times) if status == 503 else 0
-                self.assertEqual(len(answered), len(results) - refused)
+                rejected = len(limited.times) if status == 503 else 0
+                self.assertEqual(len(answered), len(results) - rejected)
 
-    def test_callers_are_told_the_time_when_all_targets_are_at_their_rates(self) -> None:
-        limited = Limited()
-        results = self.play(limited)
-        self.assertLessEqual(limited.count_most(), ALLOWED)
+    def test_callers_get_a_retry_after_while_all_rate_limits_are_exhausted(self) -> None:
+        limited = RateLimitedTarget()
+        results = self.send_from_all_boxes(limited)
+        self.assertLessEqual(limited.count_most_in_window(), ALLOWED)
         unsent = [result for result in results if result.outcome == "unsent"]
         self.assertGreaterEqual(len(unsent), len(results) - ALLOWED)
         self.assertGreater(max(result.retry_after for result in unsent), 1.0)
-        # Refused on arrival, before its earlier stages are made.
+        # A request is refused on arrival, before any of its stages runs.
         settings = self.make_settings(limited=limited)
         self.assertGreater(self.boxes[0].forecast(REQUEST, settings), 1.0)
 
--- a/packages/damsonlaned/src/damsonlaned/entry/tests/test_settings_view.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/tests/test_settings_view.py
@@ -1,4 +1,4 @@
-"""Settings in force at an entry: they only rise, and only if they are understood."""
+"""Settings in force at an entry: their version only rises, and only if they are valid."""
 
 import unittest
 
@@ -23,16 +23,16 @@
         self.assertFalse(self.view.replace(5, {}))
         self.assertEqual(self.view.current.version, 5)
 
-    def test_changes_that_follow_are_merged_and_known_ones_passed_over(self) -> None:
+    def test_newer_changes_are_merged_and_known_ones_skipped(self) -> None:
         self.assertTrue(self.view.merge((_change(5, 9), _change(6, 3))))
         current = self.view.current
         self.assertEqual((current.version, current.document), (6, {"policy": {"weight": 3}}))
 
-    def test_changes_that_leave_a_gap_are_left_alone(self) -> None:
+    def test_changes_after_a_gap_are_ignored(self) -> None:
         self.assertFalse(self.view.merge((_change(7),)))
         self.assertEqual(self.view.current.version, 5)
 
-    def test_settings_that_are_not_understood_leave_the_old_ones_in_force(self) -> None:
+    def test_invalid_settings_leave_the_old_ones_in_force(self) -> None:
         with self.assertRaises(NotUnderstoodError):
             self.view.merge((_change(6, "heavy"),))
         self.assertEqual(self.view.current.version, 5)
--- a/packages/damsonlaned/src/damsonlaned/gateway/_control_follower.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_control_follower.py
@@ -110,7 +110,7 @@
                 fault = "no fresh state from the replica"
             except (TimeoutError, *CALL_FAULTS) as error:
                 fault = str(error) or type(error).__name__
-            _LOG.warning("lost control", extra={"address": address, "fault": fault})
+            _LOG.warning("lost contact with control", extra={"address": address, "fault": fault})
             await asyncio.sleep(RECONNECT_SECONDS * random.uniform(0.5, 1.5))
 
     def _choose(self, last: str) -> str:
--- a/packages/damsonlaned/src/damsonlaned/gateway/_ended_targets.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_ended_targets.py
@@ -125,7 +125,7 @@
         if not runs:
             return
         _LOG.warning(
-            "target ended",
+            "target exited",
             extra={
                 "target": lost.target,
                 "address": lost.address,
--- a/packages/damsonlaned/src/damsonlaned/gateway/_permit_client.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_permit_client.py
@@ -98,7 +98,7 @@
                 return await answer
         except TimeoutError:
             self._skipped_until[owner] = loop.time() + OWNER_BACKOFF_SECONDS
-            _LOG.warning("no permit in time", extra={"owner": owner, "service": service})
+            _LOG.warning("no permit received in time", extra={"owner": owner, "service": service})
             return None
         finally:
             self._pending.pop(order.number, None)
--- a/packages/damsonlaned/src/damsonlaned/gateway/_rate_limits.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_rate_limits.py
@@ -145,7 +145,7 @@
             self.wait_seconds(self._find_service(report.named), report.named)
             fields = {"target": report.named.target, "start": report.named.start}
             times = {"rate": report.rate, "age": round(report.age, 3)}
-            _LOG.info("rate limit named", extra={**fields, **times})
+            _LOG.info("rate limit announced", extra={**fields, **times})
         return is_new
 
 
--- a/packages/damsonlaned/src/damsonlaned/gateway/_target_notices.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_target_notices.py
@@ -53,7 +53,7 @@
             spread = find_spread_seconds(seconds, self._count_boxes(), self._randomness)
             self._table.note(incarnation, seconds, self._clock(), spread)
             times = {"seconds": seconds, "spread": round(spread, 3)}
-            _LOG.info("back-off asked", extra={**fields, **times})
+            _LOG.info("target requested back-off", extra={**fields, **times})
         if signs.is_leaving and self._table.note_leaving(incarnation):
             _LOG.info("target is draining", extra=fields)
             self._on_draining()
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_ended_targets.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_ended_targets.py
@@ -124,7 +124,7 @@
             await entry.call("/once/a")
         lines = [json.loads(json.dumps(record.__dict__, default=str)) for record in logs.records]
         accepted = [line["fingerprint"] for line in lines if line["message"] == "accepted"]
-        exits = [line for line in lines if line["message"] == "target ended"]
+        exits = [line for line in lines if line["message"] == "target exited"]
         failed = [line["target"] for line in lines if line["message"] == "attempt failed"]
         self.assertEqual(len(set(accepted)), 1)
         self.assertEqual([line["fingerprints"] for line in exits], [accepted[:1]])
