--- a/packages/damsonlaned/src/damsonlaned/entry/_dispatcher.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_dispatcher.py
@@ -57,7 +57,13 @@
         self._randomness: Final = random.Random()
 
     def forecast(self, request: Request, settings: SettingsInForce, first: int = 0) -> float:
-        """Return the predicted seconds of the stages of a request from index ``first`` on."""
+        """Return the predicted duration of the stages of a request, in seconds.
+
+        Args:
+            request: the request.
+            settings: the settings that apply to it.
+            first: index of the first stage that counts.
+        """
         now = read_clock()
         total = 0.0
         with self._lock:
@@ -227,8 +233,8 @@
         self._version = settings.version
         for name, service in settings.tree.services.items():
             locations = {
-                target: Standing(address=entry.address, data_centre=entry.data_centre)
-                for target, entry in service.targets.items()
+                target: Standing(address=definition.address, data_centre=definition.data_centre)
+                for target, definition in service.targets.items()
             }
             self._tables.setdefault(name, TargetBook()).update(locations)
             self._meters.setdefault(name, ServiceMeter())
--- a/packages/damsonlaned/src/damsonlaned/entry/_platform_list.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_platform_list.py
@@ -88,6 +88,6 @@
 
     def _apply(self, data: bytes) -> None:
         draining = set(_ADAPTER.validate_python(json.loads(data)).get("leaving", []))
-        for service, entry in self._view.current.tree.services.items():
-            for target in draining & set(entry.targets):
+        for service, definition in self._view.current.tree.services.items():
+            for target in draining & set(definition.targets):
                 self._draining.record(service, target)
--- a/packages/damsonlaned/src/damsonlaned/entry/_rate_limited_targets.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_rate_limited_targets.py
@@ -115,7 +115,7 @@
             }
 
     def find_wait_seconds(self, rate_limited: Collection[TargetStart]) -> float:
-        """Return the seconds until the limit of one of some targets allows a request, if known."""
+        """Return the seconds until a limit of some targets allows a request; 0 if not known."""
         now = read_clock()
         with self._lock:
             waits = [
@@ -168,5 +168,5 @@
 
 
 def make_incarnation(service: str, target: str, address: str) -> TargetStart:
-    """Return the key of a pipeline's target, the same at all boxes; its start is not known."""
+    """Return the incarnation by which all boxes identify a pipeline's target, without its start."""
     return TargetStart(target=f"{service}/{target}", address=address)
--- a/packages/damsonlaned/src/damsonlaned/entry/_request_parser.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_request_parser.py
@@ -212,18 +212,18 @@
 def _resolve_stages(
     tree: Tree, data_centre: str, organisation: str, name: str
 ) -> tuple[StagePlan, ...]:
-    plans = []
+    resolved = []
     for stage in tree.organisations[organisation].pipelines[name].stages:
         policy = tree.stage_policy_of(data_centre, organisation, name, stage.service)
-        plan = StagePlan(
+        resolved_stage = StagePlan(
             name=stage.name,
             service=stage.service,
             attempts=policy.stage_attempts,
             routing=policy.routing,
             retry_share=policy.retry_share,
         )
-        plans.append(plan)
-    return tuple(plans)
+        resolved.append(resolved_stage)
+    return tuple(resolved)
 
 
 def _problem(name: str, status: HTTPStatus, detail: str) -> ProblemError:
--- a/packages/damsonlaned/src/damsonlaned/entry/_target_backoff.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_target_backoff.py
@@ -55,7 +55,7 @@
         )
 
     def find_backoff_seconds(self, service: str, locations: Mapping[str, Standing]) -> float:
-        """Return the seconds until the back-off of one of some targets ends; 0 if one has none."""
+        """Return the seconds until one of some targets no longer backs off; 0 if one does not."""
         seconds = (
             self.seconds_left(service, name, location.address)
             for name, location in locations.items()
--- a/packages/damsonlaned/src/damsonlaned/entry/tests/test_backoff.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/tests/test_backoff.py
@@ -78,11 +78,11 @@
         self.addCleanup(self.dispatcher.close)
 
     def make_settings(self, **targets: FakeTarget) -> SettingsInForce:
-        entries: dict[str, JsonValue] = {}
+        definitions: dict[str, JsonValue] = {}
         for name, target in targets.items():
             self.addCleanup(target.stop)
-            entries[name] = {"address": target.address, "data_centre": "one"}
-        tree = check_tree({"services": {"encode": {"kind": "pool", "targets": entries}}})
+            definitions[name] = {"address": target.address, "data_centre": "one"}
+        tree = check_tree({"services": {"encode": {"kind": "pool", "targets": definitions}}})
         assert isinstance(tree, Tree)
         return SettingsInForce(version=1, tree=tree)
 
--- a/packages/damsonlaned/src/damsonlaned/entry/tests/test_rate_limits.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/tests/test_rate_limits.py
@@ -91,11 +91,11 @@
         return box
 
     def make_settings(self, **targets: FakeTarget) -> SettingsInForce:
-        entries: dict[str, JsonValue] = {
+        definitions: dict[str, JsonValue] = {
             name: {"address": target.address, "data_centre": "one"}
             for name, target in targets.items()
         }
-        tree = check_tree({"services": {"encode": {"kind": "pool", "targets": entries}}})
+        tree = check_tree({"services": {"encode": {"kind": "pool", "targets": definitions}}})
         assert isinstance(tree, Tree)
         return SettingsInForce(version=next(self.versions), tree=tree)
 
