--- a/packages/damsonlane_rpc/src/damsonlane_rpc/__init__.py
+++ b/packages/damsonlane_rpc/src/damsonlane_rpc/__init__.py
@@ -20,7 +20,6 @@
     PoolOrders,
     PoolResults,
 )
-from damsonlane_rpc._key_watch import KeyWatch
 from damsonlane_rpc._messages import (
     AddRequest,
     BoxesQuery,
@@ -79,6 +78,7 @@
 from damsonlane_rpc._permit_messages import PermitReply, PermitRequest, Permits
 from damsonlane_rpc._quarantine_messages import QuarantineQuery, QuarantineView
 from damsonlane_rpc._tls import make_client_context, make_server_context
+from damsonlane_rpc._tls_reloader import KeyWatch
 
 __all__ = [
     "ADD",
