--- a/packages/damsonlane_rpc/src/damsonlane_rpc/__init__.py
+++ b/packages/damsonlane_rpc/src/damsonlane_rpc/__init__.py
@@ -1,4 +1,4 @@
-"""Calls between the processes of damsonlane, carried by grpclib."""
+"""gRPC calls between the processes of damsonlane, carried by grpclib."""
 
 from damsonlane_rpc._addresses import Endpoint
 from damsonlane_rpc._client import (
--- a/packages/damsonlane_rpc/src/damsonlane_rpc/_addresses.py
+++ b/packages/damsonlane_rpc/src/damsonlane_rpc/_addresses.py
@@ -1,19 +1,19 @@
-"""Addresses as text."""
+"""Addresses of the form ``host:port``."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, kw_only=True)
 class Endpoint:
-    """An IP number and a port."""
+    """An IP address and a port."""
 
-    #: The IP number, without brackets.
+    #: IP address, without brackets.
     host: str
-    #: The port.
+    #: TCP port.
     port: int
 
     @classmethod
     def parse(cls, address: str) -> "Endpoint":
-        """Return the endpoint written as ``number:port``."""
+        """Return the endpoint written as ``host:port``; IPv6 addresses stand in brackets."""
         host, _, port = address.rpartition(":")
         return cls(host=host.strip("[]"), port=int(port))
--- a/packages/damsonlane_rpc/src/damsonlane_rpc/_client.py
+++ b/packages/damsonlane_rpc/src/damsonlane_rpc/_client.py
@@ -1,4 +1,4 @@
-"""A client of the control group that finds the leader by itself."""
+"""A client of the control group that finds the leader."""
 
 import asyncio
 import random
@@ -34,17 +34,17 @@
 from damsonlane_rpc._methods import HEARD, PERMIT, QUERY, STATUS, SUBMIT, Method
 from damsonlane_rpc._permit_messages import PermitReply, PermitRequest, Permits
 
-#: Seconds after which an unanswered call is tried at another replica.
+#: Seconds after which an unanswered call is retried at another replica.
 ATTEMPT_SECONDS: Final = 2.0
-#: Addresses of replicas that a client remembers; a group has 3 to 7, seeds included.
-MOST_ADDRESSES: Final = 12
-#: Seconds between rounds over all replicas.
-ROUND_PAUSE: Final = 0.1
-#: Name of the metadata field that carries an operator's token.
+#: Most replica addresses that a client remembers; a group has 3 to 7 replicas.
+MAX_ADDRESSES: Final = 12
+#: Seconds between two rounds over all replicas.
+ROUND_PAUSE_SECONDS: Final = 0.1
+#: Key of the gRPC metadata that carries an operator's token.
 TOKEN_FIELD: Final = "damsonlane-token"
 
-#: What a broken call raises.  A stream that we leave before its end is a
-#: `ProtocolError` to the library, and one that the other side left is closed.
+#: What a failed call raises.  The library raises `ProtocolError` for a stream that we leave
+#: before its end, and `StreamClosedError` for one that the peer closed.
 CALL_FAULTS: Final = (
     GRPCError,
     StreamTerminatedError,
@@ -62,47 +62,47 @@
     """Control refused the operator's token."""
 
 
-#: Seconds within which a connection must be made; boxes are some milliseconds apart.
+#: Connect time-out, in seconds; a round trip between boxes takes some milliseconds.
 CONNECT_SECONDS: Final = 0.5
-#: Milliseconds without word from the other side after which sent bytes count as lost.
-SILENCE_MS: Final = 1_500
+#: Milliseconds for which sent bytes may stay unacknowledged before the connection is closed.
+UNACKNOWLEDGED_TIMEOUT_MS: Final = 1_500
 
 
-class _SilenceNoticingChannel(Channel):
-    """A channel that neither connects nor sends into the void for long.
+class _FailFastChannel(Channel):
+    """A channel that detects an unreachable box within seconds.
 
-    A box that is cut off says nothing, so without these bounds a connection to
-    it hangs for minutes.
+    Without these time-outs, a connection to a box that is cut off from the network hangs for
+    minutes.
     """
 
-    #: Seconds within which a connection must be made.
+    #: Connect time-out, in seconds.
     connect_seconds = CONNECT_SECONDS
 
     async def _create_connection(self) -> H2Protocol:
         protocol = await asyncio.wait_for(super()._create_connection(), self.connect_seconds)
         if protocol.connection.is_closing():
-            raise ConnectionResetError("the other side closed the connection at once")
+            raise ConnectionResetError("the peer closed the connection immediately")
         transport = protocol.connection._transport
         connection = transport.get_extra_info("socket")
         if connection is not None:
-            connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, SILENCE_MS)
+            connection.setsockopt(
+                socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS
+            )
         return protocol
 
 
 def open_channel(
     address: str, context: ssl.SSLContext | None, connect_seconds: float = CONNECT_SECONDS
 ) -> Channel:
-    """Return a channel to a process; it connects when first used.
+    """Return a channel to a process; it connects when it is first used.
 
     Args:
         address: internal address of the process.
-        context: TLS context, or None for calls in the clear.
-        connect_seconds: time within which a connection must be made.
+        context: TLS context, or None for plaintext.
+        connect_seconds: connect time-out, in seconds.
     """
     endpoint = Endpoint.parse(address)
-    channel = _SilenceNoticingChannel(
-        endpoint.host, endpoint.port, ssl=context, codec=DataclassCodec()
-    )
+    channel = _FailFastChannel(endpoint.host, endpoint.port, ssl=context, codec=DataclassCodec())
     channel.connect_seconds = connect_seconds
     return channel
 
@@ -110,14 +110,13 @@
 class ControlClient:
     """Calls the leader of the control group.
 
-    Every command carries an identity of its own, so sending one again after
-    a lost answer is safe.
+    Every command carries a unique id, so it is safe to retry one whose reply was lost.
 
     Args:
         addresses: internal addresses of the replicas.
-        context: TLS context, or None for calls in the clear.
+        context: TLS context, or None for plaintext.
         token: operator's token, or empty.
-        connect_seconds: time within which a connection must be made.
+        connect_seconds: connect time-out, in seconds.
     """
 
     def __init__(
@@ -136,9 +135,9 @@
         self._leader = ""
 
     def learn(self, addresses: Sequence[str]) -> None:
-        """Take over the addresses of the replicas; the ones known before stay as a last resort."""
-        later = [address for address in self._addresses if address not in addresses]
-        self._addresses = [*addresses, *later][:MOST_ADDRESSES]
+        """Prefer these addresses of replicas; keep the ones known before as a fallback."""
+        fallback = [address for address in self._addresses if address not in addresses]
+        self._addresses = [*addresses, *fallback][:MAX_ADDRESSES]
 
     async def submit(
         self,
@@ -147,11 +146,16 @@
         *,
         attempt_seconds: float = ATTEMPT_SECONDS,
     ) -> tuple[Reply, ...]:
-        """Commit commands and return their replies.
+        """Commit commands and return their replies, in order.
+
+        Args:
+            commands: the commands, committed together.
+            seconds: time-out of the whole operation, in seconds.
+            attempt_seconds: time-out of one attempt, in seconds.
 
         Raises:
             UnavailableError: not confirmed in time; the outcome is unknown.
-            ForbiddenError: the operator may not do this.
+            ForbiddenError: the operator may not submit these commands.
         """
         request = SubmitRequest(commands=tuple(commands))
         outcome = (await self._call_leader(SUBMIT, request, seconds, attempt_seconds)).outcome
@@ -162,25 +166,30 @@
     async def query(
         self, request: QueryRequest, seconds: float, *, attempt_seconds: float = ATTEMPT_SECONDS
     ) -> QueryReply:
-        """Return a current reply.
+        """Return the leader's current reply to a query.
+
+        Args:
+            request: the query.
+            seconds: time-out of the whole operation, in seconds.
+            attempt_seconds: time-out of one attempt, in seconds.
 
         Raises:
-            UnavailableError: no leader confirmed one in time.
+            UnavailableError: no leader confirmed a reply in time.
             ForbiddenError: the operator may not read.
         """
         return await self._call_leader(QUERY, request, seconds, attempt_seconds)
 
     async def tell_heard(self, targets: Sequence[str], seconds: float) -> None:
-        """Tell the leader which targets were heard here.
+        """Report to the leader which targets sent heartbeats to this box.
 
         Raises:
-            UnavailableError: no leader took it in time.
+            UnavailableError: no leader accepted the report in time.
         """
         request = HeardRequest(targets=tuple(targets))
         await self._call_leader(HEARD, request, seconds, ATTEMPT_SECONDS)
 
     async def ask_permits(self, request: PermitRequest, seconds: float) -> tuple[Permit, ...]:
-        """Tell the leader what targets named, and return the permits that it issues.
+        """Report announced rate limits to the leader and return the permits that it issues.
 
         Raises:
             UnavailableError: no leader answered in time.
@@ -191,14 +200,14 @@
     async def change_group(
         self, method: Method[Request, GroupReply], request: Request, seconds: float
     ) -> GroupReply:
-        """Ask the leader for a change of the group."""
+        """Ask the leader to change the members of the group."""
         return await self._call_leader(method, request, seconds, ATTEMPT_SECONDS)
 
     async def status(self, address: str, seconds: float) -> StatusReply:
         """Return the status of one replica.
 
         Raises:
-            UnavailableError: it did not answer in time.
+            UnavailableError: the replica did not answer in time.
         """
         try:
             return await STATUS.unary(self.channel(address))(StatusRequest(), timeout=seconds)
@@ -206,7 +215,7 @@
             raise UnavailableError(f"{address} does not answer: {error}") from None
 
     def channel(self, address: str) -> Channel:
-        """Return the channel to an address, opened once."""
+        """Return the channel to an address, opening it on first use."""
         if address not in self._channels:
             self._channels[address] = open_channel(address, self._context, self._connect_seconds)
         return self._channels[address]
@@ -225,19 +234,19 @@
         attempt_seconds: float,
     ) -> Answer:
         loop = asyncio.get_running_loop()
-        due = loop.time() + seconds
-        fault = "no control address is known"
-        while loop.time() < due:
-            for address in self._order():
-                remaining = due - loop.time()
+        deadline = loop.time() + seconds
+        last_error = "no control address is known"
+        while loop.time() < deadline:
+            for address in self._list_candidates():
+                remaining = deadline - loop.time()
                 if remaining <= 0:
                     break
                 try:
                     timeout = min(remaining, attempt_seconds)
                     reply = await self._call_one(method, address, request, timeout)
                 except CALL_FAULTS as error:
-                    fault = f"{address}: {error or type(error).__name__}"
-                    self._forget(address)
+                    last_error = f"{address}: {error or type(error).__name__}"
+                    self._drop_channel(address)
                     continue
                 outcome = reply.outcome
                 if isinstance(outcome, Forbidden):
@@ -245,12 +254,14 @@
                 if not isinstance(outcome, NotLeader | Unconfirmed):
                     self._leader = address
                     return reply
-                fault = f"{address}: {outcome.kind}"
+                last_error = f"{address}: {outcome.kind}"
                 self._leader = outcome.leader if isinstance(outcome, NotLeader) else ""
                 if self._leader:
                     break
-            await asyncio.sleep(min(ROUND_PAUSE, max(0.0, due - loop.time())))
-        raise UnavailableError(f"control could not confirm an answer in time; last: {fault}")
+            await asyncio.sleep(min(ROUND_PAUSE_SECONDS, max(0.0, deadline - loop.time())))
+        raise UnavailableError(
+            f"control could not confirm an answer in time; last error: {last_error}"
+        )
 
     async def _call_one(
         self, method: Method[Request, Answer], address: str, request: Request, timeout: float
@@ -258,13 +269,14 @@
         call = method.unary(self.channel(address))
         return await call(request, timeout=timeout, metadata=self._metadata)
 
-    def _order(self) -> list[str]:
-        """Return the replicas to try: the leader as far as known, then the rest in any order."""
+    def _list_candidates(self) -> list[str]:
+        """Return the replicas to try: the presumed leader, then the others in random order."""
         others = [address for address in self._addresses if address != self._leader]
         random.shuffle(others)
         return [self._leader, *others] if self._leader else others
 
-    def _forget(self, address: str) -> None:
+    def _drop_channel(self, address: str) -> None:
+        """Close the channel to an address, which is no longer presumed to be the leader's."""
         if self._leader == address:
             self._leader = ""
         channel = self._channels.pop(address, None)
--- a/packages/damsonlane_rpc/src/damsonlane_rpc/_codec.py
+++ b/packages/damsonlane_rpc/src/damsonlane_rpc/_codec.py
@@ -1,4 +1,4 @@
-"""Frozen data classes as gRPC messages."""
+"""Encodes frozen data classes as gRPC messages."""
 
 import zlib
 from dataclasses import dataclass
@@ -8,35 +8,32 @@
 
 from damsonlane.codec import decode_bytes, encode_bytes
 
-#: Bytes from which on a message is compressed.  Lists of targets and orders of pieces
-#: repeat their names and shrink to a sixth; below this the saving is less than a packet.
-COMPRESSED_BYTES: Final = 512
-#: Compression level: the least, since a message waits while it is compressed.
-_LEVEL: Final = 1
-#: First byte of what zlib makes; a message in JSON never begins with it.
-_COMPRESSED: Final = b"\x78"
+#: Size from which on a message is compressed, in bytes; below it, less than one packet is saved.
+MIN_COMPRESSED_BYTES: Final = 512
+#: The fastest level, since a message is delayed by its compression.
+_COMPRESSION_LEVEL: Final = 1
+#: First byte of zlib data; a JSON message never begins with it.
+_ZLIB_PREFIX: Final = b"\x78"
 
 
 @dataclass
 class Traffic:
-    """What one process said to others and heard from them; mutable counts."""
+    """Mutable counts of the messages that one process sent and received."""
 
-    #: Messages sent.
     messages_sent: int = 0
-    #: Bytes of their bodies.
+    #: Their size as sent, compressed or not, in bytes.
     bytes_sent: int = 0
-    #: Messages received.
     messages_received: int = 0
-    #: Bytes of their bodies.
+    #: Their size as received, compressed or not, in bytes.
     bytes_received: int = 0
 
 
-#: Counts of this process, for its metrics.
+#: The counts of this process, which its metrics show.
 TRAFFIC: Final = Traffic()
 
 
 class DataclassCodec(CodecBase):
-    """Carries data classes as JSON, compressed where it is long.
+    """Encodes data classes as JSON, and compresses large messages with zlib.
 
     The classes themselves are the schema.
     """
@@ -44,18 +41,18 @@
     __content_subtype__: Final = "json"
 
     def encode(self, message: Any, message_type: Any) -> bytes:
-        """Return ``message`` as bytes."""
+        """Return the encoded message."""
         data = encode_bytes(message, message_type)
-        if len(data) >= COMPRESSED_BYTES:
-            data = zlib.compress(data, _LEVEL)
+        if len(data) >= MIN_COMPRESSED_BYTES:
+            data = zlib.compress(data, _COMPRESSION_LEVEL)
         TRAFFIC.messages_sent += 1
         TRAFFIC.bytes_sent += len(data)
         return data
 
     def decode(self, data: bytes, message_type: Any) -> Any:
-        """Return the message in ``data``."""
+        """Return the decoded message."""
         TRAFFIC.messages_received += 1
         TRAFFIC.bytes_received += len(data)
-        if data.startswith(_COMPRESSED):
+        if data.startswith(_ZLIB_PREFIX):
             data = zlib.decompress(data)
         return decode_bytes(data, message_type)
--- a/packages/damsonlane_rpc/src/damsonlane_rpc/_fleet_messages.py
+++ b/packages/damsonlane_rpc/src/damsonlane_rpc/_fleet_messages.py
@@ -18,72 +18,73 @@
 
 @dataclass(frozen=True, kw_only=True)
 class FollowReport:
-    """An entry says who it is and what it holds."""
+    """An entry's report of itself and of the revisions that it has."""
 
-    #: The box, with the version of the document in force there.
+    #: The box, with the version of the routing document in force there.
     box: WatchReport
-    #: Revision of the registry of targets that it holds.
+    #: Its revision of the registry of targets.
     targets_revision: int
-    #: Revision of the list of evacuated data centres that it holds; -1 for none.
+    #: Its revision of the list of evacuated data centres; -1 for none.
     evacuations_revision: int = -1
-    #: Revision of the list of requests that are kept from targets; -1 for none.
+    #: Its revision of the list of quarantined requests; -1 for none.
     quarantine_revision: int = -1
-    #: Revision of the list of rate limits that it holds; -1 for none.
+    #: Its revision of the list of rate limits; -1 for none.
     rate_limits_revision: int = -1
 
 
 @dataclass(frozen=True, kw_only=True)
 class FollowUpdate:
-    """What is new since the report, or nothing but how fresh the sender is."""
+    """Changes since an entry's report; without any, a heartbeat that says how stale they may be."""
 
-    #: Whatever was acknowledged longer ago than this is known to the sender; None if unknown.
+    #: Upper bound of the staleness of the sender's state, in seconds: it includes everything
+    #: that was acknowledged longer ago than this.  None if unknown.
     state_age: float | None
-    #: A newer document, or None.
+    #: A newer routing document, or None.
     document: PackedDocument | None = None
-    #: Changes of targets, or None.
+    #: Changes of the registry of targets, or None.
     targets: TargetChanges | None = None
-    #: Data centres that are evacuated, or None when they are as before.
+    #: Evacuated data centres, or None if unchanged.
     evacuations: EvacuationList | None = None
-    #: Requests that are kept from targets, or None when they are as before.
+    #: Quarantined requests, or None if unchanged.
     quarantine: QuarantineList | None = None
-    #: Rate limits that targets named, or None when they are as before.
+    #: Rate limits that targets announced, or None if unchanged.
     rate_limits: RateLimitList | None = None
-    #: All entries that are heard, or None when they are as before.
+    #: All entries that report to control, or None if unchanged.
     entries: tuple[BoxRecord, ...] | None = None
-    #: Internal addresses of the control replicas, or None when they are as before.
+    #: Internal addresses of the control replicas, or None if unchanged.
     control: tuple[str, ...] | None = None
 
 
 @dataclass(frozen=True, kw_only=True)
 class JoinRequest:
-    """A replica without a group, or without a leader, asks where it stands."""
+    """A replica without a group or a leader asks to join, or whether it is still a member."""
 
     #: Name of the replica.
     replica: str
     #: Internal address of its box.
     address: str
-    #: Identity of the group that it knows; empty when it has none.
+    #: Identity of its group; empty if it has none.
     cluster: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class NotAMember:
-    """The group that the replica knows has removed it: it must start anew."""
+    """The group of the replica has removed it: it must discard its state and join as a new one."""
 
     kind: Literal["not-a-member"] = "not-a-member"
 
 
 @dataclass(frozen=True, kw_only=True)
 class JoinReply:
-    """Where the replica stands."""
+    """Reply to a replica that asks to join."""
 
-    #: ``done`` means that it is a member, or that its admission is under way.
+    #: ``done`` means that the replica is a member or is being added.
     outcome: Annotated[Done | NotLeader | NotAMember, Field(discriminator="kind")]
 
 
 @dataclass(frozen=True, kw_only=True)
 class HeardRequest:
-    """A replica that does not lead names the targets whose heartbeats it took lately."""
+    """A follower's report to the leader of targets whose heartbeats it recently received."""
 
     #: Names of the targets.
     targets: tuple[str, ...]
@@ -91,43 +92,43 @@
 
 @dataclass(frozen=True, kw_only=True)
 class HeardReply:
-    """Whether the leader noted them."""
+    """Reply to a report of heartbeats."""
 
-    #: ``done`` means that they count as heard.
+    #: ``done`` means that the leader counts the heartbeats as its own.
     outcome: Annotated[Done | NotLeader, Field(discriminator="kind")]
 
 
 @dataclass(frozen=True, kw_only=True)
 class PoolOrders:
-    """What one entry wants of the owner of a service's targets; empty keeps the stream alive."""
+    """What an entry sends to the owner of a pool; empty to keep the stream alive."""
 
     #: The service whose targets form the pool.
     service: str
-    #: Pieces to make.
+    #: Pieces to compute.
     orders: tuple[PieceOrder, ...] = ()
-    #: Numbers of orders that nobody waits for any more.
+    #: Numbers of cancelled orders, whose results nothing waits for any more.
     withdrawn: tuple[int, ...] = ()
-    #: Handles of results that were used or given up.
+    #: Handles of results that were used or discarded.
     freed: tuple[str, ...] = ()
-    #: Prompts to place, where the targets are engines.
+    #: Prompts to place, if the targets are engines.
     prompts: tuple[PromptOrder, ...] = ()
-    #: What became of prompts that were placed.
+    #: Outcomes of placed prompts.
     reads: tuple[PromptRead, ...] = ()
-    #: Requests to targets that named rate limits, which need permits.
+    #: Requests that need permits, since their targets announced rate limits.
     permits: tuple[PermitOrder, ...] = ()
-    #: Rate limits that targets of the service named, as the sender knows them.
+    #: Rate limits that targets of the service announced, as the sender knows them.
     words: tuple[RateWord, ...] = ()
 
 
 @dataclass(frozen=True, kw_only=True)
 class PoolResults:
-    """What the owner of a pool answers; empty keeps the stream alive."""
+    """What the owner of a pool sends to an entry; empty to keep the stream alive."""
 
     #: Results, in any order.
     results: tuple[PieceResult, ...] = ()
-    #: Numbers of orders whose inputs a target has read; their pieces are still at work.
+    #: Numbers of orders whose inputs a target has read; their pieces are still being computed.
     read: tuple[int, ...] = ()
-    #: Engines for prompts.
+    #: The engines at which prompts are placed.
     placements: tuple[Placement, ...] = ()
-    #: Permits for requests to targets that named rate limits.
+    #: Permits for requests to targets that announced rate limits.
     permits: tuple[Permit, ...] = ()
--- a/packages/damsonlane_rpc/src/damsonlane_rpc/_messages.py
+++ b/packages/damsonlane_rpc/src/damsonlane_rpc/_messages.py
@@ -1,4 +1,4 @@
-"""Messages between processes, besides those that the core defines."""
+"""Messages between processes that the core does not define."""
 
 from dataclasses import dataclass
 from typing import Annotated, Literal
@@ -36,16 +36,16 @@
 
 @dataclass(frozen=True, kw_only=True)
 class NotLeader:
-    """This replica can't answer; ask the leader."""
+    """Only the leader can answer, and this replica is not the leader."""
 
     kind: Literal["not-leader"] = "not-leader"
-    #: Internal address of the leader, or empty when unknown.
+    #: Internal address of the leader; empty if unknown.
     leader: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class Unconfirmed:
-    """The outcome is unknown: a quorum could not be reached in time."""
+    """The outcome is unknown, since no quorum answered in time."""
 
     kind: Literal["unconfirmed"] = "unconfirmed"
 
@@ -55,83 +55,83 @@
     """The operator may not do this."""
 
     kind: Literal["forbidden"] = "forbidden"
-    #: Why.
+    #: The reason.
     detail: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class SubmitReply:
-    """The outcome of a submission."""
+    """Reply to submitted commands."""
 
-    #: What became of it.
+    #: The replies of the commands, or why there are none.
     outcome: Annotated[Submitted | NotLeader | Unconfirmed | Forbidden, Field(discriminator="kind")]
 
 
 @dataclass(frozen=True, kw_only=True)
 class SettingsQuery:
-    """Ask for the settings tree."""
+    """Query of the settings tree."""
 
     kind: Literal["settings-query"] = "settings-query"
 
 
 @dataclass(frozen=True, kw_only=True)
 class DocumentQuery:
-    """Ask for the routing document in force."""
+    """Query of the routing document in force."""
 
     kind: Literal["document-query"] = "document-query"
 
 
 @dataclass(frozen=True, kw_only=True)
 class HistoryQuery:
-    """Ask for the latest accepted changes."""
+    """Query of the latest accepted changes."""
 
     kind: Literal["history-query"] = "history-query"
-    #: How many at the most.
+    #: Most changes to return.
     limit: int
 
 
 @dataclass(frozen=True, kw_only=True)
 class ChangeQuery:
-    """Ask what became of a change id."""
+    """Query of the outcome of a change of settings."""
 
     kind: Literal["change-query"] = "change-query"
-    #: The change id.
+    #: Id of the change.
     change: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class CostsQuery:
-    """Ask for the cost totals and the counts of endings."""
+    """Query of the cost totals and the counts of completed requests."""
 
     kind: Literal["costs-query"] = "costs-query"
 
 
 @dataclass(frozen=True, kw_only=True)
 class BoxesQuery:
-    """Ask which boxes are heard."""
+    """Query of the boxes that report to control."""
 
     kind: Literal["boxes-query"] = "boxes-query"
 
 
 @dataclass(frozen=True, kw_only=True)
 class EvacuationsQuery:
-    """Ask which data centres are evacuated."""
+    """Query of the evacuated data centres."""
 
     kind: Literal["evacuations-query"] = "evacuations-query"
 
 
 @dataclass(frozen=True, kw_only=True)
 class EvacuationsView:
-    """The data centres that are evacuated."""
+    """The evacuated data centres."""
 
     kind: Literal["evacuations-view"] = "evacuations-view"
-    #: In the order in which they were.
+    #: In the order in which they were evacuated.
     evacuations: tuple[Evacuation, ...]
 
 
 @dataclass(frozen=True, kw_only=True)
 class BoxesView:
-    """The boxes that are heard."""
+    """The boxes that report to control."""
 
     kind: Literal["boxes-view"] = "boxes-view"
     #: Their records, sorted by name.
@@ -140,9 +140,8 @@
 
 @dataclass(frozen=True, kw_only=True)
 class QueryRequest:
-    """A read that must be current."""
+    """A query, which the leader answers from its current state."""
 
-    #: What is asked.
     query: Annotated[
         SettingsQuery
         | DocumentQuery
@@ -163,7 +162,7 @@
     kind: Literal["settings-view"] = "settings-view"
     #: The version.
     version: int
-    #: The tree as written.
+    #: The tree as operators wrote it.
     document: JsonValue
 
 
@@ -172,7 +171,7 @@
     """The routing document in force."""
 
     kind: Literal["document-view"] = "document-view"
-    #: The document; version 0 when there is none.
+    #: The document; its version is 0 if there is none.
     document: PackedDocument
 
 
@@ -187,29 +186,29 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ChangeView:
-    """What became of a change id."""
+    """The outcome of a change of settings."""
 
     kind: Literal["change-view"] = "change-view"
-    #: The answer given, or None when the change id never arrived.
+    #: The reply to the change, or None if no change with that id arrived.
     reply: Annotated[ChangeReply, Field(discriminator="kind")] | None
 
 
 @dataclass(frozen=True, kw_only=True)
 class CostsView:
-    """Cost totals and counts of endings."""
+    """Cost totals and counts of completed requests."""
 
     kind: Literal["costs-view"] = "costs-view"
     #: The totals, sorted by account.
     totals: tuple[CostTotal, ...]
-    #: Endings, sorted by pipeline and time.
+    #: Counts of completed requests, sorted by pipeline and time.
     endings: tuple[EndingCount, ...] = ()
 
 
 @dataclass(frozen=True, kw_only=True)
 class QueryReply:
-    """The outcome of a query."""
+    """Reply to a query."""
 
-    #: What came of it.
+    #: The queried state, or why there is none.
     outcome: Annotated[
         SettingsView
         | DocumentView
@@ -228,54 +227,54 @@
 
 @dataclass(frozen=True, kw_only=True)
 class WatchReport:
-    """A box says which settings it has in force."""
+    """A box's report of the settings in force there."""
 
     #: Name of the box.
     box: str
-    #: Drawn anew at each start of its process.
+    #: Random id of the run of its process.
     incarnation: str
     #: Its data centre.
     data_centre: str
-    #: Version in force there.
+    #: Version of the settings in force there.
     version: int
     #: Start of its process by its own clock, in seconds since 1970.
     started_at: float
     #: Its internal address.
     address: str
-    #: Whether it is stopping.
+    #: Whether it is draining.
     is_leaving: bool = False
 
 
 @dataclass(frozen=True, kw_only=True)
 class WatchUpdate:
-    """Newer settings, as changes where the history reaches back far enough."""
+    """Newer settings: as changes if the history reaches back far enough, else as a whole."""
 
-    #: Version that holds after this update.
+    #: Version of the settings after this update.
     version: int
     #: Accepted changes in order, from the version the box reported.
     changes: tuple[AcceptedChange, ...] = ()
-    #: The whole tree, or None when the changes say it all.
+    #: The whole tree, or None if the changes suffice.
     document: JsonValue = None
-    #: Whether the sender is in touch with a quorum; a box leaves one that is not.
+    #: Whether the sender is in contact with a quorum; a box disconnects from one that is not.
     is_current: bool = True
-    #: How many entries are live.
+    #: Number of live entries.
     live_entries: int = 1
     #: Internal addresses of some other entries.
     peers: tuple[str, ...] = ()
-    #: Requests that are kept from targets, or None when they are as before.
+    #: Quarantined requests, or None if unchanged.
     quarantine: QuarantineList | None = None
-    #: Rate limits that targets named, or None when they are as before.
+    #: Rate limits that targets announced, or None if unchanged.
     rate_limits: RateLimitList | None = None
 
 
 @dataclass(frozen=True, kw_only=True)
 class StatusRequest:
-    """Ask a box how it is."""
+    """Request for the status of a control replica."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class BoxStatus:
-    """What a control replica knows of a box that watches it."""
+    """What a control replica knows of a box that receives its updates."""
 
     #: Name of the box.
     box: str
@@ -283,50 +282,50 @@
     incarnation: str
     #: Its data centre.
     data_centre: str
-    #: Version in force there.
+    #: Version of the settings in force there.
     version: int
-    #: Seconds since it was last heard.
+    #: Seconds since its last report.
     silent_seconds: float
 
 
 @dataclass(frozen=True, kw_only=True)
 class StatusReply:
-    """How a control box is."""
+    """The status of a control replica."""
 
     #: Name of the box.
     box: str
-    #: What it does.
+    #: Role of the box.
     role: Role
-    #: Name of its replica.
+    #: Name of the replica.
     replica: str
-    #: Identity of its group, or empty while it waits to be admitted.
+    #: Identity of its group; empty until it is added to one.
     cluster: str
-    #: Its standing in the agreement.
+    #: Its role in the consensus protocol, such as leader or follower.
     standing: str
-    #: Its term.
+    #: Its consensus term.
     term: int
-    #: Internal address of the leader, or empty.
+    #: Internal address of the leader; empty if unknown.
     leader: str
-    #: Index of the last committed entry.
+    #: Index of the last committed log entry.
     commit: int
-    #: Index of the last entry.
+    #: Index of the last log entry.
     last_index: int
     #: Version of the settings tree in its state.
     version: int
-    #: The group as it knows it.
+    #: Members of the group as it knows them.
     members: Members
-    #: Boxes that watch this replica.
+    #: Boxes that receive updates from this replica.
     boxes: tuple[BoxStatus, ...] = ()
 
 
 @dataclass(frozen=True, kw_only=True)
 class FoundRequest:
-    """Found a group whose only member is the box that is asked."""
+    """Request to found a group whose only member is the receiving box."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class AddRequest:
-    """Admit a replica to the group."""
+    """Request to add a replica to the group."""
 
     #: Name of the replica, as its box reports it.
     replica: str
@@ -336,7 +335,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RemoveRequest:
-    """Remove a replica from the group."""
+    """Request to remove a replica from the group."""
 
     #: Name of the replica.
     replica: str
@@ -344,28 +343,27 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Done:
-    """The change of the group is under way."""
+    """The request was accepted; a change of the group may still be under way."""
 
     kind: Literal["done"] = "done"
 
 
 @dataclass(frozen=True, kw_only=True)
 class Denied:
-    """The change of the group can't be made now."""
+    """The members of the group can't be changed now."""
 
     kind: Literal["denied"] = "denied"
-    #: Why, and what to do.
+    #: The reason, and what to do.
     detail: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class GroupReply:
-    """The outcome of a change of the group."""
+    """Reply to a request to change the members of the group."""
 
-    #: What came of it.
     outcome: Annotated[Done | Denied | NotLeader | Forbidden, Field(discriminator="kind")]
 
 
 @dataclass(frozen=True, kw_only=True)
 class ExchangeEnd:
-    """The end of a stream of envelopes."""
+    """Reply at the end of a stream of envelopes."""
--- a/packages/damsonlane_rpc/src/damsonlane_rpc/_methods.py
+++ b/packages/damsonlane_rpc/src/damsonlane_rpc/_methods.py
@@ -1,4 +1,4 @@
-"""The calls that processes make to each other."""
+"""The RPC methods of the processes."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -43,31 +43,31 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Method(Generic[Request, Reply]):
-    """One call: its name, kind and message types."""
+    """One RPC method: its path, cardinality and message types."""
 
-    #: Full path of the call.
+    #: Full path of the method.
     path: str
-    #: Whether each side sends one message or a stream.
+    #: Whether each peer sends one message or a stream.
     cardinality: Cardinality
-    #: Type of what the caller sends.
+    #: Type of the messages that the client sends.
     request: type[Request]
-    #: Type of what comes back.
+    #: Type of the messages that the server sends.
     reply: type[Reply]
 
     def handler(self, function: Callable[[Stream[Request, Reply]], Awaitable[None]]) -> Handler:
-        """Return the server's side of the call."""
+        """Return the server's side of the method."""
         return Handler(function, self.cardinality, self.request, self.reply)
 
     def unary(self, channel: Channel) -> UnaryUnaryMethod[Request, Reply]:
-        """Return the client's side of a call with one message each way."""
+        """Return the client's side of a unary method."""
         return UnaryUnaryMethod(channel, self.path, self.request, self.reply)
 
     def stream(self, channel: Channel) -> StreamStreamMethod[Request, Reply]:
-        """Return the client's side of a call with streams both ways."""
+        """Return the client's side of a bidirectional streaming method."""
         return StreamStreamMethod(channel, self.path, self.request, self.reply)
 
     def upload(self, channel: Channel) -> StreamUnaryMethod[Request, Reply]:
-        """Return the client's side of a call that streams one way."""
+        """Return the client's side of a client streaming method."""
         return StreamUnaryMethod(channel, self.path, self.request, self.reply)
 
 
@@ -112,7 +112,11 @@
 
 
 class Service:
-    """A set of calls that a process serves, in the form grpclib expects."""
+    """The methods that a process serves, in the form that grpclib expects.
+
+    Args:
+        handlers: handlers by path.
+    """
 
     def __init__(self, handlers: dict[str, Any]) -> None:
         self._handlers = handlers
--- a/packages/damsonlane_rpc/src/damsonlane_rpc/_peer_messages.py
+++ b/packages/damsonlane_rpc/src/damsonlane_rpc/_peer_messages.py
@@ -1,4 +1,4 @@
-"""Messages between entries of pipelines."""
+"""Messages between entries."""
 
 from dataclasses import dataclass
 
@@ -7,31 +7,31 @@
 
 @dataclass(frozen=True, kw_only=True)
 class LeavingTarget:
-    """A target that said it is leaving."""
+    """A target that announced that it is draining."""
 
-    #: Its service.
+    #: Service of the target.
     service: str
-    #: Its name.
+    #: Name of the target.
     target: str
-    #: Seconds since it said so.
+    #: Seconds since the announcement.
     age: float
 
 
 @dataclass(frozen=True, kw_only=True)
 class PeerRequest:
-    """An entry asks another for settings newer than its own."""
+    """An entry's request to a peer for newer settings."""
 
-    #: Version in force at the asking entry.
+    #: Version of the settings in force at the requesting entry.
     version: int
-    #: Targets that the asking entry knows to be leaving.
+    #: Targets that the requesting entry knows to be draining.
     leaving: tuple[LeavingTarget, ...] = ()
 
 
 @dataclass(frozen=True, kw_only=True)
 class PeerReply:
-    """What the other entry has."""
+    """The peer's reply."""
 
-    #: Newer settings, or None when it has none.
+    #: Newer settings, or None if it has none.
     update: WatchUpdate | None
-    #: Targets that it knows to be leaving.
+    #: Targets that the peer knows to be draining.
     leaving: tuple[LeavingTarget, ...] = ()
--- a/packages/damsonlane_rpc/src/damsonlane_rpc/_permit_messages.py
+++ b/packages/damsonlane_rpc/src/damsonlane_rpc/_permit_messages.py
@@ -1,4 +1,4 @@
-"""Messages by which boxes tell control of rate limits, and ask it for permits."""
+"""Messages by which boxes report rate limits to control and request permits."""
 
 from dataclasses import dataclass
 from typing import Annotated, Literal
@@ -11,19 +11,19 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PermitRequest:
-    """What a box tells the leader, and asks of it."""
+    """A box's request to the leader for permits, with its reports of rate limits."""
 
-    #: Service of the targets for which permits are asked.
+    #: Service of the targets for which permits are requested.
     service: str = ""
     #: Requests that need permits.
     orders: tuple[PermitOrder, ...] = ()
-    #: What targets of any service said.
+    #: Rate limits that targets of any service announced.
     words: tuple[RateWord, ...] = ()
 
 
 @dataclass(frozen=True, kw_only=True)
 class Permits:
-    """The leader's answer."""
+    """The permits that the leader issues."""
 
     kind: Literal["permits"] = "permits"
     #: One for each order.
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PermitReply:
-    """What came of it."""
+    """Reply to a request for permits."""
 
-    #: The permits, or who leads.
+    #: The permits, or which replica is the leader.
     outcome: Annotated[Permits | NotLeader, Field(discriminator="kind")]
--- a/packages/damsonlane_rpc/src/damsonlane_rpc/_quarantine_messages.py
+++ b/packages/damsonlane_rpc/src/damsonlane_rpc/_quarantine_messages.py
@@ -1,4 +1,4 @@
-"""Messages by which operators ask which requests are kept from targets."""
+"""Messages by which operators list the quarantined requests."""
 
 from dataclasses import dataclass
 from typing import Literal
@@ -8,15 +8,15 @@
 
 @dataclass(frozen=True, kw_only=True)
 class QuarantineQuery:
-    """Ask which requests are kept from targets."""
+    """Query of the quarantined requests."""
 
     kind: Literal["quarantine-query"] = "quarantine-query"
 
 
 @dataclass(frozen=True, kw_only=True)
 class QuarantineView:
-    """The requests that are kept from targets."""
+    """The quarantined requests."""
 
     kind: Literal["quarantine-view"] = "quarantine-view"
-    #: The list as entries are told it.
+    #: The list as entries receive it.
     quarantine: QuarantineList
--- a/packages/damsonlane_rpc/src/damsonlane_rpc/_tls.py
+++ b/packages/damsonlane_rpc/src/damsonlane_rpc/_tls.py
@@ -1,4 +1,4 @@
-"""Mutual TLS between boxes, from the files that settings name."""
+"""Mutual TLS between boxes, with the files that settings name."""
 
 import ssl
 from asyncio import sslproto
@@ -8,18 +8,18 @@
 from damsonlane.settings import TlsFiles
 
 _PROTOCOLS: Final = ["h2"]
-#: Bytes that a TLS connection may read at once.  The library's 256 KiB are
-#: allocated for each connection and are most of what a silent one costs.
-_READ_BUFFER: Final = 16 * 1024
+#: Size of the read buffer of a TLS connection, in bytes.  asyncio's default of 256 KiB is
+#: allocated for each connection and makes up most of the memory of an idle one.
+_READ_BUFFER_BYTES: Final = 16 * 1024
 
-sslproto.SSLProtocol.max_size = _READ_BUFFER
+sslproto.SSLProtocol.max_size = _READ_BUFFER_BYTES
 
 
 def make_server_context(files: TlsFiles) -> ssl.SSLContext:
-    """Return a context that serves only peers whose key the authority signed.
+    """Return a server context that accepts only peers with a certificate of the authority.
 
     Raises:
-        StorageError: a file is missing or no key.
+        StorageError: a file is missing or invalid.
     """
     context = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
     context.verify_mode = ssl.CERT_REQUIRED
@@ -28,13 +28,14 @@
 
 
 def make_client_context(files: TlsFiles) -> ssl.SSLContext:
-    """Return a context that shows this box's key and trusts the authority only.
+    """Return a client context that presents this box's certificate and trusts the authority only.
 
     Raises:
-        StorageError: a file is missing or no key.
+        StorageError: a file is missing or invalid.
     """
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
-    # Boxes are named by settings and reached by number, so the authority alone decides.
+    # Boxes get their names from settings and are reached by IP address, so there is no host name
+    # to check: any certificate of the authority is accepted.
     context.check_hostname = False
     context.verify_mode = ssl.CERT_REQUIRED
     load_files(context, files)
@@ -42,10 +43,10 @@
 
 
 def load_files(context: ssl.SSLContext, files: TlsFiles) -> None:
-    """Load keys into a context; connections made from now on use them.
+    """Load certificates and the key into a context; only new connections use them.
 
     Raises:
-        StorageError: a file is missing or no key.
+        StorageError: a file is missing or invalid.
     """
     context.minimum_version = ssl.TLSVersion.TLSv1_2
     context.set_alpn_protocols(_PROTOCOLS)
--- a/packages/damsonlane_rpc/src/damsonlane_rpc/_tls_reloader.py
+++ b/packages/damsonlane_rpc/src/damsonlane_rpc/_tls_reloader.py
@@ -1,4 +1,4 @@
-"""Taking renewed keys into use while the process runs."""
+"""Reloads renewed TLS files while the process runs."""
 
 import asyncio
 import contextlib
@@ -14,65 +14,66 @@
 
 _LOG: Final = logging.getLogger(__name__)
 
-#: Seconds between looks at the files.
-LOOK_SECONDS: Final = 2.0
+#: Seconds between checks for changed files.
+POLL_SECONDS: Final = 2.0
 
 
 class KeyWatch:
-    """Loads the files of a box again when they change; new connections use them.
+    """Reloads the TLS files of a box when they change; only new connections use them.
 
     Args:
-        files: the files.
-        contexts: the contexts in use.
+        files: the files to watch.
+        contexts: the TLS contexts into which they are loaded.
     """
 
     def __init__(self, files: TlsFiles, contexts: Sequence[ssl.SSLContext]) -> None:
         self._files: Final = files
         self._contexts: Final = tuple(contexts)
-        self._seen = self._read_times()
+        self._loaded_times = self._read_times()
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Start watching."""
+        """Start watching the files."""
         self._task = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
-        """Stop watching."""
+        """Stop watching the files."""
         if self._task is not None:
             self._task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await self._task
 
-    def look(self) -> bool:
-        """Load the files if they changed; tell whether they were loaded.
+    def reload_if_changed(self) -> bool:
+        """Reload the files if they changed, and return whether they were loaded.
 
-        Files that don't fit together yet, because only one of them has been
-        replaced, are tried again at the next look.
+        A certificate and a key that don't match, since only one of them has been replaced yet,
+        are retried at the next check.
         """
         times = self._read_times()
-        if times == self._seen:
+        if times == self._loaded_times:
             return False
         try:
             for context in self._contexts:
                 load_files(context, self._files)
         except StorageError as error:
-            _LOG.warning("renewed keys can't be used yet", extra={"fault": str(error)})
+            _LOG.warning("cannot load the renewed TLS files yet", extra={"fault": str(error)})
             return False
-        self._seen = times
-        _LOG.info("renewed keys are in use")
+        self._loaded_times = times
+        _LOG.info("renewed TLS files loaded")
         return True
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(LOOK_SECONDS)
-            self.look()
+            await asyncio.sleep(POLL_SECONDS)
+            self.reload_if_changed()
 
     def _read_times(self) -> tuple[float, ...]:
+        """Return the modification times of the files; 0 for one that can't be read."""
         paths = (self._files.certificate, self._files.key, self._files.authority)
-        return tuple(_read_time(path) for path in paths)
+        return tuple(_read_modification_time(path) for path in paths)
 
 
-def _read_time(path: str) -> float:
+def _read_modification_time(path: str) -> float:
     try:
         return Path(path).stat().st_mtime_ns
     except OSError:
--- a/packages/damsonlane_rpc/src/damsonlane_rpc/tests/test_codec.py
+++ b/packages/damsonlane_rpc/src/damsonlane_rpc/tests/test_codec.py
@@ -1,10 +1,10 @@
-"""Messages between boxes as bytes."""
+"""Tests of the encoding of messages between boxes."""
 
 import unittest
 
 from damsonlane.pools import PieceOrder
 from damsonlane_rpc import TRAFFIC, DataclassCodec, PoolOrders
-from damsonlane_rpc._codec import COMPRESSED_BYTES
+from damsonlane_rpc._codec import MIN_COMPRESSED_BYTES
 
 _ORDER = PieceOrder(
     number=1,
@@ -22,7 +22,7 @@
 
 
 class DataclassCodecTest(unittest.TestCase):
-    def test_messages_come_back_as_they_were(self) -> None:
+    def test_messages_survive_a_round_trip(self) -> None:
         codec = DataclassCodec()
         for count in (0, 1, 50):
             with self.subTest(count=count):
@@ -38,9 +38,9 @@
             with self.subTest(name):
                 data = codec.encode(PoolOrders(service="p", orders=(_ORDER,) * count), PoolOrders)
                 self.assertEqual(data.startswith(b"{"), is_text)
-                self.assertLess(len(data), COMPRESSED_BYTES)
+                self.assertLess(len(data), MIN_COMPRESSED_BYTES)
 
-    def test_the_bytes_on_the_wire_are_counted(self) -> None:
+    def test_sent_bytes_are_counted_after_compression(self) -> None:
         before = TRAFFIC.bytes_sent
         message = PoolOrders(service="pool", orders=(_ORDER,) * 50)
         data = DataclassCodec().encode(message, PoolOrders)
--- a/packages/damsonlane_rpc/src/damsonlane_rpc/tests/test_tls_reloader.py
+++ b/packages/damsonlane_rpc/src/damsonlane_rpc/tests/test_tls_reloader.py
@@ -1,4 +1,4 @@
-"""Renewed keys are taken into use by new connections."""
+"""Tests that renewed TLS files are used by new connections."""
 
 import asyncio
 import os
@@ -13,11 +13,11 @@
 from damsonlane_rpc import KeyWatch, make_client_context, make_server_context
 
 
-class KeyWatchTest(unittest.IsolatedAsyncioTestCase):
+class TlsReloaderTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
-        scratch = tempfile.TemporaryDirectory()
-        self.addCleanup(scratch.cleanup)
-        folder = Path(scratch.name)
+        temporary_folder = tempfile.TemporaryDirectory()
+        self.addCleanup(temporary_folder.cleanup)
+        folder = Path(temporary_folder.name)
         self.files = TlsFiles(
             certificate=str(folder / "box.pem"),
             key=str(folder / "box.key"),
@@ -39,30 +39,30 @@
     async def _read_serial(self, address: tuple[str, int]) -> object:
         context = make_client_context(self.files)
         reader, writer = await asyncio.open_connection(*address, ssl=context)
-        found: ssl.SSLObject = writer.get_extra_info("ssl_object")
-        certificate = found.getpeercert()
+        tls_object: ssl.SSLObject = writer.get_extra_info("ssl_object")
+        certificate = tls_object.getpeercert()
         writer.close()
         assert certificate is not None
         return certificate["serialNumber"]
 
-    async def test_new_connections_see_the_renewed_key(self) -> None:
+    async def test_new_connections_use_the_renewed_certificate(self) -> None:
         context = make_server_context(self.files)
-        watch = KeyWatch(self.files, [context])
+        reloader = KeyWatch(self.files, [context])
         server = await asyncio.start_server(lambda *_: None, "127.0.0.1", 0, ssl=context)
         address = server.sockets[0].getsockname()
         before = await self._read_serial(address)
-        self.assertFalse(watch.look())
+        self.assertFalse(reloader.reload_if_changed())
         self._renew(with_key=True)
-        self.assertTrue(watch.look())
+        self.assertTrue(reloader.reload_if_changed())
         self.assertNotEqual(await self._read_serial(address), before)
         server.close()
 
-    async def test_half_a_renewal_is_tried_again(self) -> None:
-        watch = KeyWatch(self.files, [make_server_context(self.files)])
+    async def test_a_certificate_without_its_key_is_retried(self) -> None:
+        reloader = KeyWatch(self.files, [make_server_context(self.files)])
         self._renew(with_key=False)
-        self.assertFalse(watch.look())
+        self.assertFalse(reloader.reload_if_changed())
         self._renew(with_key=True)
-        self.assertTrue(watch.look())
+        self.assertTrue(reloader.reload_if_changed())
 
 
 if __name__ == "__main__":
