--- a/packages/damsonlane_cli/src/damsonlane_cli/__init__.py
+++ b/packages/damsonlane_cli/src/damsonlane_cli/__init__.py
@@ -1,4 +1,4 @@
-"""The operator's command of damsonlane."""
+"""The command line of damsonlane for operators."""
 
 import fire
 
@@ -13,7 +13,7 @@
 
 
 class Commands:
-    """Operate damsonlane: settings, replicas, data centres, held requests, reports."""
+    """Operate damsonlane: settings, replicas, data centres, quarantined requests, reports."""
 
     def __init__(self) -> None:
         self.settings = SettingsCommands()
--- a/packages/damsonlane_cli/src/damsonlane_cli/_bound.py
+++ b/packages/damsonlane_cli/src/damsonlane_cli/_bound.py
@@ -1,11 +1,13 @@
-"""``damsonlane report bound``: what could have been served in aim, from entries' logs.
-
-Tells whether to add targets to a pool or to look at how work is chosen: a plan that knows all
-arrivals in advance is compared with what was served.  The plan is a linear program.  It errs
-to the bright side: targets make full calls all the time; room for results, the way between
-data centres and engines count as free; requests may be served in part.  Only the mix of
-pieces is taken as it was, so more could be made where a pool's full calls held larger ones
-than usual.
+"""``damsonlane report bound``: how many requests could have met their latency objective.
+
+Compares what was served, by the logs of all entries, with the best plan of a scheduler that
+knows all arrivals in advance.  A small difference means that pools need more targets, a large
+one that the scheduling of their work can be improved.
+
+The plan is the solution of a linear program, and optimistic: targets run full calls all the
+time; result memory, transfers between data centres and engines cost nothing; requests may be
+served in part.  Only the mix of pieces is taken from the logs, so the plan is too low where the
+full calls of a pool held larger pieces than usual.
 """
 
 import statistics
@@ -16,66 +18,72 @@
 from typing import Any, Final
 
 from damsonlane_cli._context import EXIT_INPUT, fail
-from damsonlane_cli._losses import RETURN_SECONDS, name_step, read_line, read_texts
-
-#: Grain of time, in seconds: a call of a pool takes 0.2 s and more.
+from damsonlane_cli._losses import (
+    RESPONSE_TRANSFER_SECONDS,
+    classify_outcome,
+    read_line,
+    read_texts,
+)
+
+#: Length of the time slots of the plan, in seconds; no call of a pool is shorter than 0.2 s.
 SLOT_SECONDS: Final = 0.25
-#: Share of the pieces of a pool's largest call from which on a call counts as full.
-FULL_SHARE: Final = 0.9
-#: By how much a request counts more than one of the rank after it.
-RANK_WEIGHT: Final = 4.0
-#: Seconds around a moment in which a target that ended a call is reckoned to work.
-PRESENT_SECONDS: Final = 2.0
+#: A call counts as full from this share of the pieces of its pool's largest call on.
+FULL_CALL_SHARE: Final = 0.9
+#: Ratio of the weights of two requests whose priorities are one level apart.
+PRIORITY_WEIGHT: Final = 4.0
+#: A target is assumed to run during an interval if one of its calls completed within this many
+#: seconds before or after it.
+PRESENCE_SECONDS: Final = 2.0
 
 
 @dataclass(frozen=True, kw_only=True)
-class Demand:
-    """One request at its first try, as its entry logged it."""
+class LoggedRequest:
+    """A request as its entry logged it; retries of its caller are left out."""
 
     #: Its route.
     route: str
-    #: Its rank; 0 comes first.
-    rank: int
+    #: Its priority; 0 is the highest.
+    priority: int
     #: When it arrived, in seconds since 1970.
     arrived_at: float
-    #: Pieces of each of its stages.
+    #: Number of pieces of each of its stages.
     pieces: tuple[int, ...]
-    #: Whether it was served in aim.
-    is_in_aim: bool
+    #: Whether it met its latency objective.
+    met_objective: bool
 
 
 @dataclass(frozen=True, kw_only=True)
 class PoolCall:
-    """One call of a pool's target."""
+    """A call to a target of a pool."""
 
     #: Service that the target belongs to.
     service: str
     #: Name of the target.
     target: str
-    #: When it ended, in seconds since 1970.
-    ended_at: float
-    #: Pieces made.
-    made: int
-    #: How long it took, in seconds.
+    #: When it completed, in seconds since 1970.
+    completed_at: float
+    #: Number of pieces computed.
+    pieces: int
+    #: Its duration, in seconds.
     seconds: float
 
 
 @dataclass(frozen=True, kw_only=True)
-class Record:
-    """What the logs of all entries tell."""
+class FleetLog:
+    """What the logs of all entries contain about requests with stages and pools."""
 
-    #: Requests with stages, in no order.
-    demands: tuple[Demand, ...]
-    #: Calls of pools' targets.
+    #: Requests with stages, in no particular order.
+    requests: tuple[LoggedRequest, ...]
+    #: Calls to targets of pools.
     calls: tuple[PoolCall, ...]
     #: Service of each stage, by route and index.
     services: Mapping[tuple[str, int], str]
-    #: Seconds within which each route's requests are in aim.
-    aims: Mapping[str, float]
+    #: Latency objective of each route, in seconds.
+    objectives: Mapping[str, float]
 
 
-def read_record(texts: Iterable[str]) -> Record:
-    """Return what logs tell of requests with stages and of pools; other lines are passed over."""
+def read_fleet_log(texts: Iterable[str]) -> FleetLog:
+    """Parse log lines; lines about anything but requests with stages and pools are ignored."""
     accepted: dict[str, dict[str, Any]] = {}
     ended: dict[str, dict[str, Any]] = {}
     calls: list[PoolCall] = []
@@ -90,92 +98,96 @@
         elif message == "stage made":
             services[(str(line["route"]), int(line["stage"]))] = str(line["service"])
         elif message == "batch ended":
-            calls.append(_read_call(line))
-    demands = [_read_demand(line, ended.get(name, {})) for name, line in accepted.items()]
-    return Record(
-        demands=tuple(demands), calls=tuple(calls), services=services, aims=_find_aims(ended)
+            calls.append(_parse_call(line))
+    requests = [_parse_request(line, ended.get(name, {})) for name, line in accepted.items()]
+    return FleetLog(
+        requests=tuple(requests),
+        calls=tuple(calls),
+        services=services,
+        objectives=_find_objectives(ended),
     )
 
 
-def count_bound(files: Sequence[str]) -> list[dict[str, object]]:
-    """Return a row for each route and rank: served in aim, and what could have been.
+def report_bound(files: Sequence[str]) -> list[dict[str, object]]:
+    """Return a row for each route and priority: requests that met their objective, and the bound.
 
     Args:
-        files: the logs of all entries; standard input when none is named.
+        files: the logs of all entries; standard input if there are none.
     """
-    record = read_record(read_texts(files))
-    if not record.demands or not record.calls:
-        fail("no line tells of a request with stages; give the logs of all entries", EXIT_INPUT)
-    shares = find_best_shares(record)
-    keys = [(demand.rank, demand.route) for demand in record.demands]
+    log = read_fleet_log(read_texts(files))
+    if not log.requests or not log.calls:
+        fail("no requests with stages in these logs; give the logs of all entries", EXIT_INPUT)
+    shares = find_best_shares(log)
+    keys = [(request.priority, request.route) for request in log.requests]
     best: dict[tuple[int, str], float] = defaultdict(float)
     for key, share in zip(keys, shares, strict=True):
         best[key] += share
-    served = Counter((d.rank, d.route) for d in record.demands if d.is_in_aim)
+    served = Counter((r.priority, r.route) for r in log.requests if r.met_objective)
     return [
         {
-            "rank": rank,
+            "rank": priority,
             "route": route,
             "requests": count,
-            "in_aim": served[(rank, route)],
-            "best": round(best[(rank, route)], 1),
-            "distance": round((best[(rank, route)] - served[(rank, route)]) / count, 4),
+            "in_aim": served[(priority, route)],
+            "best": round(best[(priority, route)], 1),
+            "distance": round((best[(priority, route)] - served[(priority, route)]) / count, 4),
         }
-        for (rank, route), count in sorted(Counter(keys).items())
+        for (priority, route), count in sorted(Counter(keys).items())
     ]
 
 
-def find_best_shares(record: Record) -> Sequence[float]:
-    """Return which part of each request the best plan serves in aim.
+def find_best_shares(log: FleetLog) -> Sequence[float]:
+    """Return which share of each request the best plan serves within its latency objective.
 
-    For each pool and each time between two slots, what arrives after the start and must be
-    made by the end is no more than the pool makes between them.
+    The constraints: for each pool and each interval of slots, the pieces that arrive after its
+    start and whose objective passes before its end are at most as many as the pool computes in
+    between.
     """
-    # Imported here, since no other command needs it and it takes half a second.
+    # Imported here, since it is slow to import and no other command needs it.
     from scipy.optimize import linprog  # type: ignore[import-untyped]
     from scipy.sparse import csr_matrix  # type: ignore[import-untyped]
 
-    rows, columns, values, limits = _make_constraints(record)
-    weights = [-(RANK_WEIGHT**-demand.rank) for demand in record.demands]
+    rows, columns, values, limits = _make_constraints(log)
+    weights = [-(PRIORITY_WEIGHT**-request.priority) for request in log.requests]
     matrix = csr_matrix((values, (rows, columns)), shape=(len(limits), len(weights)))
     solved = linprog(weights, A_ub=matrix, b_ub=limits, bounds=(0.0, 1.0), method="highs")
     if not solved.success:
-        fail(f"the best plan was not found: {solved.message}", EXIT_INPUT)
+        fail(f"the linear program of the bound was not solved: {solved.message}", EXIT_INPUT)
     return [float(share) for share in solved.x]
 
 
 def _make_constraints(
-    record: Record,
+    log: FleetLog,
 ) -> tuple[list[int], list[int], list[float], list[float]]:
-    """Return the program's matrix, by rows, columns and values, and its limits."""
-    pools = _PoolRates(record.calls)
+    """Return the matrix of the linear program, as rows, columns and values, and its limits."""
+    pools = _PoolRates(log.calls)
     columns_of: dict[str, list[tuple[int, int, int, float]]] = defaultdict(list)
-    for column, demand in enumerate(record.demands):
-        start = int(demand.arrived_at // SLOT_SECONDS)
-        aim = record.aims.get(demand.route, 0.0) - RETURN_SECONDS
-        end = int(-(-(demand.arrived_at + aim) // SLOT_SECONDS))
-        for service, pieces in _count_pieces(demand, record.services).items():
+    for column, request in enumerate(log.requests):
+        start = int(request.arrived_at // SLOT_SECONDS)
+        objective = log.objectives.get(request.route, 0.0) - RESPONSE_TRANSFER_SECONDS
+        end = int(-(-(request.arrived_at + objective) // SLOT_SECONDS))
+        for service, pieces in _count_pieces(request, log.services).items():
             columns_of[service].append((column, start, end, float(pieces)))
     rows: list[int] = []
     columns: list[int] = []
     values: list[float] = []
     limits: list[float] = []
-    for service, wanted in columns_of.items():
-        for start in {item[1] for item in wanted}:
-            for end in {item[2] for item in wanted if item[1] >= start}:
-                inside = [item for item in wanted if item[1] >= start and item[2] <= end]
-                limit = pools.count_made(service, start * SLOT_SECONDS, end * SLOT_SECONDS)
-                if sum(item[3] for item in inside) <= limit:
+    for service, needs in columns_of.items():
+        for start in {need[1] for need in needs}:
+            for end in {need[2] for need in needs if need[1] >= start}:
+                inside = [need for need in needs if need[1] >= start and need[2] <= end]
+                limit = pools.max_pieces(service, start * SLOT_SECONDS, end * SLOT_SECONDS)
+                if sum(need[3] for need in inside) <= limit:
                     continue
                 rows.extend([len(limits)] * len(inside))
-                columns.extend(item[0] for item in inside)
-                values.extend(item[3] for item in inside)
+                columns.extend(need[0] for need in inside)
+                values.extend(need[3] for need in inside)
                 limits.append(limit)
     return rows, columns, values, limits
 
 
 class _PoolRates:
-    """How much each pool makes, by its full calls and the targets that were there.
+    """The throughput of each pool, by its full calls and the targets that were running.
 
     Args:
         calls: all calls of all pools.
@@ -183,67 +195,69 @@
 
     def __init__(self, calls: Sequence[PoolCall]) -> None:
         self._rates: Final[dict[str, float]] = {}
-        self._ends: Final[dict[str, dict[str, list[float]]]] = {}
+        self._completions: Final[dict[str, dict[str, list[float]]]] = {}
         for service in {call.service for call in calls}:
-            own = [call for call in calls if call.service == service and call.seconds > 0]
-            most = max((call.made for call in own), default=0)
-            full = [call for call in own if call.made >= FULL_SHARE * most]
+            own_calls = [call for call in calls if call.service == service and call.seconds > 0]
+            largest = max((call.pieces for call in own_calls), default=0)
+            full = [call for call in own_calls if call.pieces >= FULL_CALL_SHARE * largest]
             seconds = sum(call.seconds for call in full)
-            self._rates[service] = sum(call.made for call in full) / seconds if full else 0.0
-            ends: dict[str, list[float]] = defaultdict(list)
-            for call in own:
-                ends[call.target].append(call.ended_at)
-            self._ends[service] = ends
-
-    def count_made(self, service: str, start: float, end: float) -> float:
-        """Return the most pieces that a pool makes between two times."""
-        ends = self._ends.get(service, {})
-        present = sum(
-            any(start - PRESENT_SECONDS <= at <= end + PRESENT_SECONDS for at in times)
-            for times in ends.values()
+            self._rates[service] = sum(call.pieces for call in full) / seconds if full else 0.0
+            completions: dict[str, list[float]] = defaultdict(list)
+            for call in own_calls:
+                completions[call.target].append(call.completed_at)
+            self._completions[service] = completions
+
+    def max_pieces(self, service: str, start: float, end: float) -> float:
+        """Return the most pieces that a pool computes between two times, in seconds since 1970."""
+        completions = self._completions.get(service, {})
+        running_targets = sum(
+            any(start - PRESENCE_SECONDS <= at <= end + PRESENCE_SECONDS for at in times)
+            for times in completions.values()
         )
-        return present * self._rates.get(service, 0.0) * (end - start)
+        return running_targets * self._rates.get(service, 0.0) * (end - start)
 
 
-def _count_pieces(demand: Demand, services: Mapping[tuple[str, int], str]) -> Mapping[str, int]:
-    """Return the pieces that a request needs of each pool."""
+def _count_pieces(
+    request: LoggedRequest, services: Mapping[tuple[str, int], str]
+) -> Mapping[str, int]:
+    """Return the number of pieces that a request needs from each pool."""
     pieces: Counter[str] = Counter()
-    for stage, count in enumerate(demand.pieces):
-        service = services.get((demand.route, stage))
+    for stage, count in enumerate(request.pieces):
+        service = services.get((request.route, stage))
         if service is not None and count:
             pieces[service] += count
     return pieces
 
 
-def _find_aims(ended: Mapping[str, Mapping[str, Any]]) -> Mapping[str, float]:
-    """Return the usual aim of each route, in seconds."""
-    aims: dict[str, list[float]] = defaultdict(list)
+def _find_objectives(ended: Mapping[str, Mapping[str, Any]]) -> Mapping[str, float]:
+    """Return the median latency objective of the requests of each route, in seconds."""
+    objectives: dict[str, list[float]] = defaultdict(list)
     for line in ended.values():
-        aims[str(line.get("route", ""))].append(float(line.get("aim_seconds", 0.0)))
-    return {route: statistics.median(seconds) for route, seconds in aims.items()}
+        objectives[str(line.get("route", ""))].append(float(line.get("aim_seconds", 0.0)))
+    return {route: statistics.median(seconds) for route, seconds in objectives.items()}
 
 
-def _read_demand(accepted: dict[str, Any], ended: dict[str, Any]) -> Demand:
-    return Demand(
+def _parse_request(accepted: dict[str, Any], ended: dict[str, Any]) -> LoggedRequest:
+    return LoggedRequest(
         route=str(accepted["route"]),
-        rank=int(accepted["rank"]),
-        arrived_at=_read_time(accepted),
+        priority=int(accepted["rank"]),
+        arrived_at=_parse_time(accepted),
         pieces=tuple(int(count) for count in accepted["pieces"]),
-        is_in_aim=name_step(accepted, ended) == "in aim",
+        met_objective=classify_outcome(accepted, ended) == "in aim",
     )
 
 
-def _read_call(line: Mapping[str, Any]) -> PoolCall:
+def _parse_call(line: Mapping[str, Any]) -> PoolCall:
     return PoolCall(
         service=str(line["service"]),
         target=str(line["target"]),
-        ended_at=_read_time(line),
-        made=int(line["made"]),
+        completed_at=_parse_time(line),
+        pieces=int(line["made"]),
         seconds=float(line["seconds"]),
     )
 
 
-def _read_time(line: Mapping[str, Any]) -> float:
+def _parse_time(line: Mapping[str, Any]) -> float:
     """Return when a line was logged, by the clock of its box, in seconds since 1970."""
     text = str(line["time"]).replace(",", ".")
     return datetime.fromisoformat(text).timestamp()
--- a/packages/damsonlane_cli/src/damsonlane_cli/_context.py
+++ b/packages/damsonlane_cli/src/damsonlane_cli/_context.py
@@ -1,4 +1,4 @@
-"""What every command needs: where control is, who asks, and how to print."""
+"""Shared by all commands: operator settings, calls to control, errors and output."""
 
 import asyncio
 import json
@@ -25,11 +25,11 @@
 EXIT_CONFLICT: Final = 4
 EXIT_NOT_IN_FORCE: Final = 5
 
-#: Seconds within which a connection to control must be made.  A person would rather
-#: wait than ask again; boxes, which have others to ask, give up after half a second.
+#: Connect time-out, in seconds.  It is longer than that of boxes, which can turn to another
+#: replica at once: an operator would have to repeat the command.
 CONNECT_SECONDS: Final = 5.0
 
-#: Environment variable with the path of the operator's settings.
+#: Environment variable with the path of the operator settings.
 SETTINGS_VARIABLE: Final = "DAMSONLANE_SETTINGS"
 #: Path used when the variable is not set.
 DEFAULT_PATH: Final = "damsonlane.json"
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class OperatorSettings:
-    """What the operator's command reads from its file."""
+    """The settings of the operator's command."""
 
     __pydantic_config__ = CLOSED
 
@@ -47,7 +47,7 @@
     control: Annotated[tuple[str, ...], Field(min_length=1)]
     #: File that holds the operator's token and nothing else.
     token_file: str = ""
-    #: Keys towards the boxes.
+    #: TLS files for calls to boxes; None for plaintext.
     tls: TlsFiles | None = None
 
 
@@ -55,7 +55,7 @@
 
 
 def fail(message: str, code: int) -> NoReturn:
-    """Print what is wrong, a line each, and exit."""
+    """Print an error message to standard error, with a prefix on each line, and exit."""
     for line in message.splitlines():
         print(f"damsonlane: {line}", file=sys.stderr)
     sys.exit(code)
@@ -65,7 +65,7 @@
     """Return the content of a file.
 
     Raises:
-        SettingsError: it can't be read.
+        SettingsError: the file can't be read.
     """
     try:
         return Path(path).read_text(encoding="utf-8")
@@ -76,17 +76,17 @@
 
 
 def read_operator_settings() -> OperatorSettings:
-    """Read the operator's settings.
+    """Read the operator settings.
 
     Raises:
-        SettingsError: with all findings.
+        SettingsError: the file can't be read or is invalid; carries all findings.
     """
     path = os.environ.get(SETTINGS_VARIABLE, DEFAULT_PATH)
     document = read_document(read_text(path), path)
-    return _check(document)
+    return _parse_settings(document)
 
 
-def _check(document: Document) -> OperatorSettings:
+def _parse_settings(document: Document) -> OperatorSettings:
     checked = check_value(document.value, _ADAPTER, OperatorSettings)
     if isinstance(checked, OperatorSettings):
         return checked
@@ -96,7 +96,7 @@
 def call_control(
     work: Callable[[ControlClient, OperatorSettings], Awaitable[Result]],
 ) -> Result:
-    """Run ``work`` with a client of control; exit with one line if it can't be done."""
+    """Run ``work`` with a client of control; on failure, print an error and exit."""
     try:
         settings = read_operator_settings()
         token = read_text(settings.token_file).strip() if settings.token_file else ""
--- a/packages/damsonlane_cli/src/damsonlane_cli/_control.py
+++ b/packages/damsonlane_cli/src/damsonlane_cli/_control.py
@@ -1,4 +1,4 @@
-"""``damsonlane control``: the group of control replicas."""
+"""``damsonlane control``: shows and changes the group of control replicas."""
 
 import asyncio
 import time
@@ -31,77 +31,79 @@
     StatusReply,
 )
 
-#: Seconds to wait for a change of the group.
-SECONDS: Final = 30.0
-#: Seconds of silence after which a box is shown as suspected.
+#: Default time-out of a change of the group, in seconds.
+DEFAULT_SECONDS: Final = 30.0
+#: Seconds without a report after which a box is shown as suspected.
 SUSPECTED_SECONDS: Final = 3.5
 _POLL_SECONDS: Final = 0.1
 _CALL_SECONDS: Final = 2.0
 
 
 class ControlCommands:
-    """Look at and change the group of control replicas."""
+    """Show and change the group of control replicas."""
 
     def status(self, json: bool = False) -> None:
-        """Show each control replica."""
+        """Show the status of each control replica."""
         statuses = call_control(_read_statuses)
-        rows = [_describe(address, status) for address, status in statuses.items()]
+        rows = [_make_status_row(address, status) for address, status in statuses.items()]
         print_rows(rows, json)
 
     def boxes(self, json: bool = False) -> None:
-        """Show the boxes that control hears, and which settings are in force there."""
+        """Show the boxes that report to control, and the versions of settings in force there."""
         print_rows(call_control(_read_boxes), json)
 
     def found(self, address: str) -> None:
         """Found a group whose first member is the control box at an address."""
 
         async def work(client: ControlClient, _: OperatorSettings) -> None:
-            reply = await FOUND.unary(client.channel(address))(FoundRequest(), timeout=SECONDS)
+            reply = await FOUND.unary(client.channel(address))(
+                FoundRequest(), timeout=DEFAULT_SECONDS
+            )
             _require_done(reply)
             print(f"founded a group at {address}")
 
         call_control(work)
 
-    def add(self, address: str, seconds: float = SECONDS) -> None:
-        """Admit the control box at an address and wait until it votes."""
+    def add(self, address: str, seconds: float = DEFAULT_SECONDS) -> None:
+        """Add the control box at an address and wait until it votes."""
 
         async def work(client: ControlClient, _: OperatorSettings) -> None:
-            await _admit(client, address, seconds)
+            await _add_replica(client, address, seconds)
 
         call_control(work)
 
-    def remove(self, replica: str, seconds: float = SECONDS) -> None:
-        """Remove a replica by its name."""
+    def remove(self, replica: str, seconds: float = DEFAULT_SECONDS) -> None:
+        """Remove the replica with this name."""
 
         async def work(client: ControlClient, settings: OperatorSettings) -> None:
-            await _dismiss(client, settings, str(replica), seconds)
+            await _remove_replica(client, settings, str(replica), seconds)
 
         call_control(work)
 
-    def replace(self, replica: str, address: str, seconds: float = SECONDS) -> None:
-        """Admit the control box at an address, then remove a replica that was lost."""
+    def replace(self, replica: str, address: str, seconds: float = DEFAULT_SECONDS) -> None:
+        """Add the control box at an address, then remove a replica that was lost."""
 
         async def work(client: ControlClient, settings: OperatorSettings) -> None:
-            await _admit(client, address, seconds)
-            await _dismiss(client, settings, str(replica), seconds)
+            await _add_replica(client, address, seconds)
+            await _remove_replica(client, settings, str(replica), seconds)
 
         call_control(work)
 
 
-async def _admit(client: ControlClient, address: str, seconds: float) -> None:
+async def _add_replica(client: ControlClient, address: str, seconds: float) -> None:
     status = await client.status(address, _CALL_SECONDS)
     request = AddRequest(replica=status.replica, address=address)
-    due = time.monotonic() + seconds
+    deadline = time.monotonic() + seconds
     while True:
         reply = await client.change_group(ADD, request, seconds)
         if not isinstance(reply.outcome, Denied) or "under way" not in reply.outcome.detail:
             _require_done(reply)
             break
-        if time.monotonic() >= due:
+        if time.monotonic() >= deadline:
             _require_done(reply)
         await asyncio.sleep(_POLL_SECONDS)
     print(f"{status.replica} is learning")
-    while time.monotonic() < due:
+    while time.monotonic() < deadline:
         status = await client.status(address, _CALL_SECONDS)
         if status.members.is_voter(status.replica) and status.leader:
             print(f"{status.replica} votes")
@@ -110,15 +112,15 @@
     fail(f"{status.replica} does not vote yet; see 'damsonlane control status'", EXIT_UNKNOWN)
 
 
-async def _dismiss(
+async def _remove_replica(
     client: ControlClient, settings: OperatorSettings, replica: str, seconds: float
 ) -> None:
-    due = time.monotonic() + seconds
+    deadline = time.monotonic() + seconds
     while True:
         request = RemoveRequest(replica=replica)
         reply = await client.change_group(REMOVE, request, seconds)
         is_busy = isinstance(reply.outcome, Denied) and "under way" in reply.outcome.detail
-        if not is_busy or time.monotonic() >= due:
+        if not is_busy or time.monotonic() >= deadline:
             _require_done(reply)
             break
         await asyncio.sleep(_POLL_SECONDS)
@@ -138,20 +140,20 @@
 
 
 async def _read_boxes(client: ControlClient, settings: OperatorSettings) -> list[dict[str, object]]:
-    reply = await client.query(QueryRequest(query=BoxesQuery()), SECONDS)
+    reply = await client.query(QueryRequest(query=BoxesQuery()), DEFAULT_SECONDS)
     assert isinstance(reply.outcome, BoxesView)
     statuses = await _read_statuses(client, settings)
-    heard = {
+    statuses_by_box = {
         box.box: box for status in statuses.values() if status is not None for box in status.boxes
     }
     rows: list[dict[str, object]] = []
     for record in reply.outcome.boxes:
-        status = heard.get(record.box)
-        is_silent = status is None or status.silent_seconds > SUSPECTED_SECONDS
+        status = statuses_by_box.get(record.box)
+        is_suspected = status is None or status.silent_seconds > SUSPECTED_SECONDS
         row = {
             "box": record.box,
             "data centre": record.data_centre,
-            "standing": "suspected" if is_silent else record.standing,
+            "standing": "suspected" if is_suspected else record.standing,
             "version": status.version if status else 0,
             "address": record.address,
             "heard by": record.via,
@@ -160,7 +162,7 @@
     return rows
 
 
-def _describe(address: str, status: StatusReply | None) -> dict[str, object]:
+def _make_status_row(address: str, status: StatusReply | None) -> dict[str, object]:
     if status is None:
         return {"address": address, "standing": "does not answer"}
     return {
--- a/packages/damsonlane_cli/src/damsonlane_cli/_data_centres.py
+++ b/packages/damsonlane_cli/src/damsonlane_cli/_data_centres.py
@@ -1,4 +1,4 @@
-"""``damsonlane data-centre``: taking data centres out of use and back."""
+"""``damsonlane data-centre``: evacuates and restores data centres."""
 
 import secrets
 from datetime import UTC, datetime
@@ -21,30 +21,30 @@
     QueryRequest,
 )
 
-#: Seconds to wait for control, unless the operator says otherwise.
-SECONDS: Final = 10.0
+#: Default time-out of calls to control, in seconds.
+DEFAULT_SECONDS: Final = 10.0
 
 
 class DataCentreCommands:
-    """Evacuate data centres, whose targets then get nothing new, and restore them."""
+    """Evacuate data centres, whose targets then get no new requests, and restore them."""
 
-    def evacuate(self, name: str, seconds: float = SECONDS) -> None:
-        """Have nothing new sent to the targets of a data centre; what runs there ends there."""
+    def evacuate(self, name: str, seconds: float = DEFAULT_SECONDS) -> None:
+        """Stop new requests to the targets of a data centre; running ones complete there."""
         call = secrets.token_hex(6)
-        command = EvacuateDataCentre(data_centre=_check(name), call=call, operator="", at=0.0)
+        command = EvacuateDataCentre(data_centre=_check_name(name), call=call, operator="", at=0.0)
         _submit(command, seconds)
 
-    def restore(self, name: str, seconds: float = SECONDS) -> None:
-        """Have the targets of a data centre used again, slowly while they are cold."""
+    def restore(self, name: str, seconds: float = DEFAULT_SECONDS) -> None:
+        """Send requests to the targets of a data centre again, few while they warm up."""
         call = secrets.token_hex(6)
-        command = RestoreDataCentre(data_centre=_check(name), call=call, operator="", at=0.0)
+        command = RestoreDataCentre(data_centre=_check_name(name), call=call, operator="", at=0.0)
         _submit(command, seconds)
 
     def list(self, json: bool = False) -> None:
-        """Show the data centres that are evacuated, who asked for it, and when."""
+        """Show the evacuated data centres, who evacuated them, and when."""
 
         async def work(client: ControlClient, _: OperatorSettings) -> EvacuationsView:
-            reply = await client.query(QueryRequest(query=EvacuationsQuery()), SECONDS)
+            reply = await client.query(QueryRequest(query=EvacuationsQuery()), DEFAULT_SECONDS)
             assert isinstance(reply.outcome, EvacuationsView)
             return reply.outcome
 
@@ -60,16 +60,16 @@
         print_rows(rows, json)
 
 
-def _check(name: object) -> str:
-    """Return the name of a data centre, or exit if it can't be one."""
+def _check_name(name: object) -> str:
+    """Return the name of a data centre as text, or exit if it is invalid."""
     text = str(name)
     if not text or not text.isprintable() or "/" in text or " " in text:
-        fail(f"{text!r} is no name of a data centre", EXIT_INPUT)
+        fail(f"{text!r} is not a valid name of a data centre", EXIT_INPUT)
     return text
 
 
 def _submit(command: EvacuateDataCentre | RestoreDataCentre, seconds: float) -> None:
-    """Commit an order and say what came of it."""
+    """Commit a command and print its outcome."""
 
     async def work(client: ControlClient, _: OperatorSettings) -> None:
         try:
--- a/packages/damsonlane_cli/src/damsonlane_cli/_losses.py
+++ b/packages/damsonlane_cli/src/damsonlane_cli/_losses.py
@@ -1,4 +1,4 @@
-"""``damsonlane report losses``: in which step requests lost their aim, from entries' logs."""
+"""``damsonlane report losses``: why requests missed their latency objective, by entries' logs."""
 
 import json
 import statistics
@@ -11,123 +11,128 @@
 
 from damsonlane_cli._context import EXIT_INPUT, fail
 
-#: Seconds that an answer is reckoned to need back to its caller.
-RETURN_SECONDS: Final = 0.005
-#: Share of the aim from which on one step alone is named as the cause of a late answer.
-STEP_SHARE: Final = 0.55
+#: Seconds that the transfer of an answer to its caller is assumed to take.
+RESPONSE_TRANSFER_SECONDS: Final = 0.005
+#: A step that takes more than this share of the objective is named as the cause of a late answer.
+DOMINANT_SHARE: Final = 0.55
 
 
 @dataclass(frozen=True, kw_only=True)
-class Ending:
-    """How one request ended."""
+class RequestOutcome:
+    """The outcome of one request."""
 
     #: Its route.
     route: str
-    #: Its rank; 0 comes first.
-    rank: int
-    #: The step in which it lost its aim, or ``in aim``.
+    #: Its priority; 0 is the highest.
+    priority: int
+    #: The step in which it missed its latency objective, or ``in aim``.
     step: str
-    #: Seconds from its arrival to its end.
+    #: Seconds from its arrival to its completion.
     seconds: float
 
 
-def find_endings(texts: Iterable[str]) -> list[Ending]:
-    """Return how each request ended that an entry accepted; other lines are passed over."""
+def read_outcomes(texts: Iterable[str]) -> list[RequestOutcome]:
+    """Return the outcome of each request that an entry accepted; other log lines are ignored."""
     accepted: dict[str, dict[str, Any]] = {}
-    endings: list[Ending] = []
+    outcomes: list[RequestOutcome] = []
     for text in texts:
         line = read_line(text)
         name = str(line.get("request", ""))
         if line.get("message") == "accepted":
             accepted[name] = line
         elif line.get("message") == "ended" and name in accepted:
-            endings.append(_make_ending(accepted.pop(name), line))
-    # An entry that was lost logged no end.
-    return endings + [_make_ending(line, {}) for line in accepted.values()]
+            outcomes.append(_make_outcome(accepted.pop(name), line))
+    # An entry that crashed logged no completion.
+    return outcomes + [_make_outcome(line, {}) for line in accepted.values()]
 
 
-def name_step(accepted: dict[str, Any], ended: dict[str, Any]) -> str:
-    """Return the step in which a request lost its aim, from its first and last line."""
+def classify_outcome(accepted: dict[str, Any], ended: dict[str, Any]) -> str:
+    """Return the step in which a request missed its objective, or ``in aim``.
+
+    Args:
+        accepted: the log line of its arrival.
+        ended: the log line of its completion; empty if there is none.
+    """
     outcome = str(ended.get("outcome", ""))
     if not outcome:
         return "entry lost"
     if outcome != "answered":
-        return _name_refusal(accepted, outcome)
-    waited = float(accepted.get("waited_ms", 0)) / 1000
-    aim = float(ended["aim_seconds"])
-    first = ended.get("first_event_seconds")
-    seconds = float(first if first is not None else ended["seconds"])
-    if seconds + waited + RETURN_SECONDS > aim:
-        return "late, came back" if waited > 0 else _name_late(ended, seconds, aim)
+        return _classify_unanswered(accepted, outcome)
+    earlier_wait = float(accepted.get("waited_ms", 0)) / 1000
+    objective = float(ended["aim_seconds"])
+    first_event = ended.get("first_event_seconds")
+    seconds = float(first_event if first_event is not None else ended["seconds"])
+    if seconds + earlier_wait + RESPONSE_TRANSFER_SECONDS > objective:
+        return "late, came back" if earlier_wait > 0 else _classify_late(ended, seconds, objective)
     pause = float(ended.get("longest_pause_seconds") or 0.0)
-    allowed = float(ended.get("pause_aim_seconds") or 0.0)
-    return "late, paused" if allowed and pause > allowed else "in aim"
+    max_pause = float(ended.get("pause_aim_seconds") or 0.0)
+    return "late, paused" if max_pause and pause > max_pause else "in aim"
 
 
-def count_losses(files: Sequence[str]) -> list[dict[str, object]]:
+def report_losses(files: Sequence[str]) -> list[dict[str, object]]:
     """Return a row for each route and step, from the logs of the entries.
 
     Args:
-        files: the logs; standard input when none is named.
+        files: the logs; standard input if there are none.
     """
-    endings = find_endings(read_texts(files))
-    if not endings:
-        fail("no line tells of an accepted request; give the logs of all entries", EXIT_INPUT)
-    return _count(endings)
+    outcomes = read_outcomes(read_texts(files))
+    if not outcomes:
+        fail("no accepted requests in these logs; give the logs of all entries", EXIT_INPUT)
+    return _make_rows(outcomes)
 
 
-def _count(endings: Sequence[Ending]) -> list[dict[str, object]]:
-    """Return a row for each route and step, the most urgent routes first."""
-    requests = Counter(ending.route for ending in endings)
-    steps = Counter((ending.rank, ending.route, ending.step) for ending in endings)
+def _make_rows(outcomes: Sequence[RequestOutcome]) -> list[dict[str, object]]:
+    """Return a row for each route and step, routes of the highest priority first."""
+    requests = Counter(outcome.route for outcome in outcomes)
+    steps = Counter((outcome.priority, outcome.route, outcome.step) for outcome in outcomes)
     rows: list[dict[str, object]] = []
-    for (rank, route, step), count in sorted(steps.items()):
-        held = [
-            ending.seconds
-            for ending in endings
-            if (ending.rank, ending.route, ending.step) == (rank, route, step)
+    for (priority, route, step), count in sorted(steps.items()):
+        durations = [
+            outcome.seconds
+            for outcome in outcomes
+            if (outcome.priority, outcome.route, outcome.step) == (priority, route, step)
         ]
         rows.append(
             {
-                "rank": rank,
+                "rank": priority,
                 "route": route,
                 "step": step,
                 "requests": count,
                 "share": round(count / requests[route], 4),
-                "median_seconds": round(statistics.median(held), 3),
+                "median_seconds": round(statistics.median(durations), 3),
             }
         )
     return rows
 
 
-def _name_refusal(accepted: dict[str, Any], outcome: str) -> str:
-    """Return the step of a request that was not answered."""
+def _classify_unanswered(accepted: dict[str, Any], outcome: str) -> str:
+    """Return the step of a request without an answer of its target."""
     if outcome == "refused-503" and float(accepted.get("waited_ms", 0)) > 0:
         return "refused again"
     return outcome
 
 
-def _name_late(ended: dict[str, Any], seconds: float, aim: float) -> str:
-    """Return which step took most of the aim of a late answer."""
+def _classify_late(ended: dict[str, Any], seconds: float, objective: float) -> str:
+    """Return which step used up most of the objective of a late answer."""
     staged = float(ended.get("staged_seconds", 0.0))
-    if staged > STEP_SHARE * aim >= seconds - staged:
+    if staged > DOMINANT_SHARE * objective >= seconds - staged:
         return "late, stages"
-    if seconds - staged > STEP_SHARE * aim >= staged:
+    if seconds - staged > DOMINANT_SHARE * objective >= staged:
         return "late, target"
     return "late, both"
 
 
-def _make_ending(accepted: dict[str, Any], ended: dict[str, Any]) -> Ending:
-    return Ending(
+def _make_outcome(accepted: dict[str, Any], ended: dict[str, Any]) -> RequestOutcome:
+    return RequestOutcome(
         route=str(accepted.get("route", "")),
-        rank=int(accepted.get("rank", 0)),
-        step=name_step(accepted, ended),
+        priority=int(accepted.get("rank", 0)),
+        step=classify_outcome(accepted, ended),
         seconds=float(ended.get("seconds", 0.0)),
     )
 
 
 def read_line(text: str) -> dict[str, Any]:
-    """Return a line of a log, whatever stands before it; empty for anything else."""
+    """Return the fields of a JSON log line, which may have a prefix; empty for any other text."""
     start = text.find("{")
     try:
         value = json.loads(text[start:]) if start >= 0 else None
@@ -137,6 +142,7 @@
 
 
 def read_texts(files: Sequence[str]) -> Iterable[str]:
+    """Yield the lines of log files, or of standard input if there are none."""
     if not files:
         yield from sys.stdin
     for name in files:
--- a/packages/damsonlane_cli/src/damsonlane_cli/_quarantine.py
+++ b/packages/damsonlane_cli/src/damsonlane_cli/_quarantine.py
@@ -1,4 +1,4 @@
-"""``damsonlane quarantine``: requests that are kept from targets since targets ended under them."""
+"""``damsonlane quarantine``: shows and releases quarantined requests."""
 
 from datetime import UTC, datetime
 from typing import Final
@@ -20,36 +20,36 @@
     QueryRequest,
 )
 
-#: Seconds to wait for control, unless the operator says otherwise.
-SECONDS: Final = 10.0
-#: Characters of a fingerprint.
-_LENGTH: Final = 24
+#: Default time-out of calls to control, in seconds.
+DEFAULT_SECONDS: Final = 10.0
+#: Hexadecimal digits of a fingerprint.
+_FINGERPRINT_LENGTH: Final = 24
 
 
 class QuarantineCommands:
-    """Show requests that are kept from targets, and release them."""
+    """Show and release quarantined requests, under which targets repeatedly exited."""
 
     def list(self, json: bool = False) -> None:
-        """Show which requests are held, how many targets ended under each, and until when."""
-        held = _read_list()
+        """Show the quarantined requests, how many targets exited under each, and until when."""
+        quarantine = _read_list()
         rows = [
             {
                 "fingerprint": request.fingerprint,
                 "ends": request.ends,
                 "until": datetime.fromtimestamp(request.until, UTC).isoformat(timespec="seconds"),
             }
-            for request in held.held
+            for request in quarantine.held
         ]
         print_rows(rows, json)
 
-    def release(self, fingerprint: str, seconds: float = SECONDS) -> None:
-        """Have a request sent to targets again, say after they were mended.
+    def release(self, fingerprint: str, seconds: float = DEFAULT_SECONDS) -> None:
+        """Allow a request to be sent to targets again, for example after they were fixed.
 
         Args:
-            fingerprint: the request, as `damsonlane quarantine list` and logs name it.
-            seconds: how long to wait for control.
+            fingerprint: its fingerprint, as `damsonlane quarantine list` and logs show it.
+            seconds: time-out of the call to control, in seconds.
         """
-        name = _check(fingerprint)
+        name = _check_fingerprint(fingerprint)
         command = ReleaseRequest(fingerprint=name, operator="", at=0.0)
 
         async def work(client: ControlClient, _: OperatorSettings) -> QuarantineList:
@@ -60,26 +60,26 @@
             assert isinstance(reply, QuarantineNoted)
             return reply.quarantine
 
-        known = {request.fingerprint for request in _read_list().held}
+        quarantined = {request.fingerprint for request in _read_list().held}
         call_control(work)
-        print(f"{name} is {'released' if name in known else 'not held'}")
+        print(f"{name} is {'released' if name in quarantined else 'not held'}")
 
 
 def _read_list() -> QuarantineList:
     async def work(client: ControlClient, _: OperatorSettings) -> QuarantineList:
-        reply = await client.query(QueryRequest(query=QuarantineQuery()), SECONDS)
+        reply = await client.query(QueryRequest(query=QuarantineQuery()), DEFAULT_SECONDS)
         assert isinstance(reply.outcome, QuarantineView)
         return reply.outcome.quarantine
 
     return call_control(work)
 
 
-def _check(fingerprint: object) -> str:
-    """Return a fingerprint, or exit if it can't be one."""
+def _check_fingerprint(fingerprint: object) -> str:
+    """Return a fingerprint in lower case, or exit if it is invalid."""
     text = str(fingerprint).lower()
-    if len(text) != _LENGTH or any(digit not in "0123456789abcdef" for digit in text):
+    if len(text) != _FINGERPRINT_LENGTH or any(digit not in "0123456789abcdef" for digit in text):
         fail(
-            f"{text!r} is no fingerprint: {_LENGTH} hexadecimal digits, as "
+            f"{text!r} is not a fingerprint: expected {_FINGERPRINT_LENGTH} hexadecimal digits, as "
             "'damsonlane quarantine list' shows them",
             EXIT_INPUT,
         )
--- a/packages/damsonlane_cli/src/damsonlane_cli/_reports.py
+++ b/packages/damsonlane_cli/src/damsonlane_cli/_reports.py
@@ -1,4 +1,4 @@
-"""``damsonlane report``: cost by stage and service-level burn."""
+"""``damsonlane report``: costs, burn rates of error budgets, and reports from logs."""
 
 import csv
 import sys
@@ -18,9 +18,9 @@
     measure_burn,
 )
 from damsonlane.settings import Tree, check_tree
-from damsonlane_cli._bound import count_bound
+from damsonlane_cli._bound import report_bound
 from damsonlane_cli._context import EXIT_INPUT, call_control, fail, print_rows
-from damsonlane_cli._losses import count_losses
+from damsonlane_cli._losses import report_losses
 from damsonlane_rpc import (
     ControlClient,
     CostsQuery,
@@ -30,40 +30,42 @@
     SettingsView,
 )
 
-_SECONDS: Final = 10.0
-#: Fine buckets that a plot shows.
-_PLOTTED: Final = 60
+#: Time-out of queries, in seconds.
+_QUERY_SECONDS: Final = 10.0
+#: Number of fine buckets that a plot shows.
+_PLOTTED_BUCKETS: Final = 60
 
 
 class ReportCommands:
-    """Reports from durable counts, and from logs."""
+    """Reports from the counts that control stores, and from logs."""
 
     def losses(self, *files: str, format: str = "text") -> None:
-        """Show in which step requests lost their aim, by route.
+        """Show in which step requests missed their latency objective, by route.
 
         Args:
-            files: logs of the entries; standard input when none is named.
+            files: logs of the entries; standard input if there are none.
             format: text, json or csv.
         """
-        _print(count_losses(files), format)
+        _print(report_losses(files), format)
 
     def bound(self, *files: str, format: str = "text") -> None:
-        """Show what could have been served in aim if all arrivals were known, by route.
+        """Show how many requests could have met their latency objective, by route.
 
-        The distance is the share of the requests that no shortage of the pools explains.
+        The bound is the best plan that knows all arrivals in advance.  The distance is the share
+        of the requests that a shortage of targets does not explain.
 
         Args:
-            files: logs of all entries; standard input when none is named.
+            files: logs of all entries; standard input if there are none.
             format: text, json or csv.
         """
-        _print(count_bound(files), format)
+        _print(report_bound(files), format)
 
     def cost(self, format: str = "text", organisation: str = "") -> None:
         """Show cost by organisation, pipeline, stage and outcome.
 
         Args:
             format: text, json or csv.
-            organisation: show only this one.
+            organisation: show the costs of this organisation only.
         """
         view = call_control(lambda client, _: _query_costs(client))
         rows: list[dict[str, object]] = [
@@ -82,24 +84,24 @@
         _print(rows, format)
 
     def burn(self, format: str = "text", plot: str = "") -> None:
-        """Show how fast each pipeline and event uses up its allowance for failures.
+        """Show the burn rate of each pipeline's error budget, by time window and event.
 
         Args:
             format: text, json or csv.
-            plot: file for a plot of attainment by minute, as SVG.
+            plot: file for a plot of attainment by minute, as SVG; empty for none.
         """
         view = call_control(lambda client, _: _query_costs(client))
         tree = _read_tree()
-        rows = [_describe(burn) for burn in _measure_all(view.endings, tree)]
+        rows = [_make_burn_row(burn) for burn in _measure_burns(view.endings, tree)]
         _print(rows, format)
         if plot:
             Path(plot).write_bytes(draw_attainment(view.endings, time.time()))
 
 
-def _measure_all(endings: Sequence[EndingCount], tree: Tree) -> list[Burn]:
+def _measure_burns(endings: Sequence[EndingCount], tree: Tree) -> list[Burn]:
     burns: list[Burn] = []
-    for organisation, written in tree.organisations.items():
-        for pipeline in written.pipelines:
+    for organisation, settings in tree.organisations.items():
+        for pipeline in settings.pipelines:
             own = [e for e in endings if (e.organisation, e.pipeline) == (organisation, pipeline)]
             objective = tree.policy_of("", organisation, pipeline).objective
             for window in _list_all_windows(tree, f"{organisation}/{pipeline}"):
@@ -108,7 +110,7 @@
 
 
 def _list_all_windows(tree: Tree, pipeline: str) -> list[Window]:
-    """Return the usual windows and one for each event that the pipeline serves."""
+    """Return the standard windows and one for each event of the pipeline."""
     events = [
         Window(name=f"event {name}", start=event.starts_at.timestamp(), end=event.ends_at())
         for name, event in tree.events.items()
@@ -117,7 +119,7 @@
     return [*list_windows(time.time()), *events]
 
 
-def _describe(burn: Burn) -> dict[str, object]:
+def _make_burn_row(burn: Burn) -> dict[str, object]:
     return {
         "organisation": burn.organisation,
         "pipeline": burn.pipeline,
@@ -129,9 +131,14 @@
 
 
 def draw_attainment(endings: Sequence[EndingCount], now: float) -> bytes:
-    """Return a plot of attainment by minute, one line a pipeline, as SVG."""
-    newest = int(now) - int(now) % FINE_SECONDS
-    starts = [newest - FINE_SECONDS * back for back in range(_PLOTTED - 1, -1, -1)]
+    """Return a plot of attainment by minute as SVG, with one line for each pipeline.
+
+    Args:
+        endings: counts of completed requests.
+        now: end of the plot, in seconds since 1970.
+    """
+    newest_start = int(now) - int(now) % FINE_SECONDS
+    starts = [newest_start - FINE_SECONDS * back for back in range(_PLOTTED_BUCKETS - 1, -1, -1)]
     chart = pygal.Line(
         title="Attainment by minute (%)",
         x_label_rotation=45,
@@ -143,12 +150,12 @@
     chart.x_labels_major = list(chart.x_labels)[::10]
     fine = [ending for ending in endings if ending.length == FINE_SECONDS]
     for name in sorted({f"{ending.organisation}/{ending.pipeline}" for ending in fine}):
-        found = {e.start: e for e in fine if f"{e.organisation}/{e.pipeline}" == name}
-        chart.add(name, [_share(found.get(start)) for start in starts])
+        counts_by_start = {e.start: e for e in fine if f"{e.organisation}/{e.pipeline}" == name}
+        chart.add(name, [_attained_percent(counts_by_start.get(start)) for start in starts])
     return bytes(chart.render())
 
 
-def _share(count: EndingCount | None) -> float | None:
+def _attained_percent(count: EndingCount | None) -> float | None:
     return 100.0 * count.attained / count.total if count else None
 
 
@@ -161,13 +168,13 @@
 
 
 async def _query_costs(client: ControlClient) -> CostsView:
-    reply = await client.query(QueryRequest(query=CostsQuery()), _SECONDS)
+    reply = await client.query(QueryRequest(query=CostsQuery()), _QUERY_SECONDS)
     assert isinstance(reply.outcome, CostsView)
     return reply.outcome
 
 
 async def _query_settings(client: ControlClient) -> SettingsView:
-    reply = await client.query(QueryRequest(query=SettingsQuery()), _SECONDS)
+    reply = await client.query(QueryRequest(query=SettingsQuery()), _QUERY_SECONDS)
     assert isinstance(reply.outcome, SettingsView)
     return reply.outcome
 
@@ -178,7 +185,7 @@
     elif format in ("text", "json"):
         print_rows(rows, format == "json")
     else:
-        fail(f"no format '{format}'; known are text, json and csv", EXIT_INPUT)
+        fail(f"unknown format '{format}'; use text, json or csv", EXIT_INPUT)
 
 
 def _print_csv(rows: Sequence[Mapping[str, Any]]) -> None:
--- a/packages/damsonlane_cli/src/damsonlane_cli/_settings.py
+++ b/packages/damsonlane_cli/src/damsonlane_cli/_settings.py
@@ -1,4 +1,4 @@
-"""``damsonlane settings``: look at and change the settings tree."""
+"""``damsonlane settings``: shows and changes the settings tree."""
 
 import asyncio
 import difflib
@@ -47,17 +47,17 @@
     SettingsView,
 )
 
-#: Seconds to wait for control, unless the operator says otherwise.
-SECONDS: Final = 10.0
-#: Seconds between looks at the boxes while waiting.
+#: Default time-out of calls to control, in seconds.
+DEFAULT_SECONDS: Final = 10.0
+#: Seconds between polls of the boxes while waiting until a change is in force.
 POLL_SECONDS: Final = 0.2
 
 
 class SettingsCommands:
-    """Look at and change the settings tree."""
+    """Show and change the settings tree."""
 
     def check(self, file: str) -> None:
-        """Check a file with a whole settings tree, without any other process."""
+        """Check a file with a whole settings tree offline."""
         try:
             read_tree(read_document(read_text(str(file)), str(file)))
         except SettingsError as error:
@@ -65,11 +65,11 @@
         print(f"{file}: no findings")
 
     def get(self, path: str = "") -> None:
-        """Print the settings tree, or the part of it at a path."""
+        """Print the settings tree, or the subtree at a path."""
         value = _read_current().document
         for segment in [part for part in str(path).split("/") if part]:
             if not isinstance(value, dict) or segment not in value:
-                fail(f"nothing is written at {path}; see 'damsonlane settings explain'", EXIT_INPUT)
+                fail(f"no value is set at {path}; see 'damsonlane settings explain'", EXIT_INPUT)
             value = value[segment]
         print_value(value)
 
@@ -80,19 +80,19 @@
         change: str = "",
         version: int = 0,
         wait: bool = True,
-        seconds: float = SECONDS,
+        seconds: float = DEFAULT_SECONDS,
     ) -> None:
         """Set one value and wait until it is in force everywhere.
 
         Args:
             path: such as /policy/deadline_seconds.
-            value: JSON; text that is no JSON is taken as text.
-            change: change id, to ask again after an unknown outcome.
-            version: version expected; the current one by default.
-            wait: whether to wait until it is in force at every box.
-            seconds: longest wait.
+            value: JSON, or text that is not JSON.
+            change: id of the change, to retry it safely after an unknown outcome.
+            version: expected version of the tree; the current one by default.
+            wait: whether to wait until the change is in force at every box.
+            seconds: time-out, in seconds.
         """
-        edit = Edit(path=str(path), value=_parse(value))
+        edit = Edit(path=str(path), value=_check_json(value))
         _change((edit,), change, version, wait, seconds)
 
     def remove(
@@ -101,9 +101,9 @@
         change: str = "",
         version: int = 0,
         wait: bool = True,
-        seconds: float = SECONDS,
+        seconds: float = DEFAULT_SECONDS,
     ) -> None:
-        """Take away what is written at a path, so that it is inherited again."""
+        """Remove the value at a path, so that the inherited one applies again."""
         _change((Edit(path=str(path), action="remove"),), change, version, wait, seconds)
 
     def apply(
@@ -112,9 +112,9 @@
         change: str = "",
         version: int = 0,
         wait: bool = True,
-        seconds: float = SECONDS,
+        seconds: float = DEFAULT_SECONDS,
     ) -> None:
-        """Replace the whole tree by a file."""
+        """Replace the whole tree by the content of a file."""
         try:
             document = read_document(read_text(str(file)), str(file))
             read_tree(document)
@@ -128,21 +128,23 @@
             document = read_document(read_text(str(file)), str(file))
         except SettingsError as error:
             fail(str(error), EXIT_INPUT)
-        old, new = _lines(_read_current().document), _lines(document.value)
+        old, new = _render_lines(_read_current().document), _render_lines(document.value)
         sys.stdout.writelines(difflib.unified_diff(old, new, "in force", str(file)))
 
     def explain(
         self, organisation: str, pipeline: str, data_centre: str = "", json: bool = False
     ) -> None:
-        """Say where each effective value of a pipeline comes from."""
+        """Show the effective values of a pipeline and where each is set."""
         tree = check_tree(_read_current().document)
         if not isinstance(tree, Tree):
             fail(tree[0].render(), EXIT_INPUT)
-        owner = tree.organisations.get(organisation)
-        if owner is None or pipeline not in owner.pipelines:
+        settings = tree.organisations.get(organisation)
+        if settings is None or pipeline not in settings.pipelines:
             fail(f"no pipeline '{organisation}/{pipeline}'", EXIT_INPUT)
         origins = tree.explain(data_centre, organisation, pipeline)
-        rows = [{"value": o.name, "is": o.value, "from": o.path} for o in origins]
+        rows = [
+            {"value": origin.name, "is": origin.value, "from": origin.path} for origin in origins
+        ]
         print_rows(rows, json)
 
     def history(self, limit: int = 20, json: bool = False) -> None:
@@ -161,12 +163,12 @@
         print_rows(rows, json)
 
     def outcome(self, change: str) -> None:
-        """Say what became of a change id after an unknown outcome."""
+        """Show the outcome of an earlier change by its id."""
         view = call_control(lambda client, _: _query_change(client, str(change)))
         if view.reply is None:
             print(f"change {change}: never arrived; it is safe to send it again")
             return
-        _report(view.reply, str(change))
+        _print_reply(view.reply, str(change))
 
 
 def _read_current() -> SettingsView:
@@ -174,19 +176,19 @@
 
 
 async def _query_settings(client: ControlClient) -> SettingsView:
-    reply = await client.query(QueryRequest(query=SettingsQuery()), SECONDS)
+    reply = await client.query(QueryRequest(query=SettingsQuery()), DEFAULT_SECONDS)
     assert isinstance(reply.outcome, SettingsView)
     return reply.outcome
 
 
 async def _query_history(client: ControlClient, limit: int) -> HistoryView:
-    reply = await client.query(QueryRequest(query=HistoryQuery(limit=limit)), SECONDS)
+    reply = await client.query(QueryRequest(query=HistoryQuery(limit=limit)), DEFAULT_SECONDS)
     assert isinstance(reply.outcome, HistoryView)
     return reply.outcome
 
 
 async def _query_change(client: ControlClient, change: str) -> ChangeView:
-    reply = await client.query(QueryRequest(query=ChangeQuery(change=change)), SECONDS)
+    reply = await client.query(QueryRequest(query=ChangeQuery(change=change)), DEFAULT_SECONDS)
     assert isinstance(reply.outcome, ChangeView)
     return reply.outcome
 
@@ -196,7 +198,7 @@
 
     async def work(client: ControlClient, settings: OperatorSettings) -> None:
         reply = await _submit(client, edits, change_id, version, seconds)
-        accepted = _report(reply, change_id)
+        accepted = _print_reply(reply, change_id)
         if wait:
             await _wait_in_force(client, settings, accepted.version, seconds)
 
@@ -217,7 +219,7 @@
     except UnavailableError as error:
         message = (
             f"the outcome is unknown: {error}\n"
-            f"ask 'damsonlane settings outcome {change}', or resend with --change={change}"
+            f"check it with 'damsonlane settings outcome {change}', or retry with --change={change}"
         )
         fail(message, EXIT_UNKNOWN)
     reply = replies[0]
@@ -225,15 +227,16 @@
     return reply
 
 
-def _report(reply: ChangeReply, change: str) -> ChangeAccepted:
+def _print_reply(reply: ChangeReply, change: str) -> ChangeAccepted:
+    """Print the outcome of a change; exit if it was not accepted."""
     if isinstance(reply, ChangeAccepted):
         print(f"accepted as version {reply.version} (change {change})")
         return reply
     if isinstance(reply, ChangeConflict):
         winner = reply.winner
-        by = f" by {winner.operator} (change {winner.change})" if winner else ""
+        author = f" by {winner.operator} (change {winner.change})" if winner else ""
         fail(
-            f"conflict: version {reply.version} was made first{by}; look and try again",
+            f"conflict: version {reply.version} was accepted first{author}; check it and retry",
             EXIT_CONFLICT,
         )
     message = "\n".join(finding.render() for finding in reply.findings)
@@ -243,21 +246,21 @@
 async def _wait_in_force(
     client: ControlClient, settings: OperatorSettings, version: int, seconds: float
 ) -> None:
-    due = time.monotonic() + seconds
+    deadline = time.monotonic() + seconds
     while True:
-        boxes = await read_boxes(client, settings)
-        behind = sorted(box for box, reached in boxes.items() if reached < version)
-        if not behind:
+        boxes = await read_versions(client, settings)
+        outdated = sorted(box for box, current in boxes.items() if current < version)
+        if not outdated:
             print(f"in force at {len(boxes)} boxes")
             return
-        if time.monotonic() >= due:
-            fail(f"accepted, but not in force at: {', '.join(behind)}", EXIT_NOT_IN_FORCE)
+        if time.monotonic() >= deadline:
+            fail(f"accepted, but not in force at: {', '.join(outdated)}", EXIT_NOT_IN_FORCE)
         await asyncio.sleep(POLL_SECONDS)
 
 
-async def read_boxes(client: ControlClient, settings: OperatorSettings) -> dict[str, int]:
-    """Return the version in force at each box that control knows; 0 where none is heard of."""
-    reply = await client.query(QueryRequest(query=BoxesQuery()), SECONDS)
+async def read_versions(client: ControlClient, settings: OperatorSettings) -> dict[str, int]:
+    """Return the version in force at each box that control knows; 0 where none was reported."""
+    reply = await client.query(QueryRequest(query=BoxesQuery()), DEFAULT_SECONDS)
     assert isinstance(reply.outcome, BoxesView)
     boxes = {record.box: 0 for record in reply.outcome.boxes}
     for address in settings.control:
@@ -271,15 +274,15 @@
     return boxes
 
 
-def _parse(value: object) -> JsonValue:
-    """Return a value as the command line gave it; it has parsed what looks like JSON already."""
+def _check_json(value: object) -> JsonValue:
+    """Return a value that the command line has already parsed, or exit if it is not JSON."""
     try:
-        parsed: JsonValue = json.loads(json.dumps(value))
+        checked: JsonValue = json.loads(json.dumps(value))
     except TypeError:
         fail(f"'{value}' is not JSON", EXIT_INPUT)
-    return parsed
+    return checked
 
 
-def _lines(value: JsonValue) -> list[str]:
+def _render_lines(value: JsonValue) -> list[str]:
     text = json.dumps(value, indent=2, sort_keys=True, ensure_ascii=False)
     return [f"{line}\n" for line in text.splitlines()]
--- a/packages/damsonlane_cli/src/damsonlane_cli/tests/test_context.py
+++ b/packages/damsonlane_cli/src/damsonlane_cli/tests/test_context.py
@@ -1,4 +1,4 @@
-"""Commands that can't be carried out end with one line and an exit code."""
+"""Tests of the errors and time-outs of calls to control."""
 
 import contextlib
 import io
@@ -23,7 +23,7 @@
         settings.start()
         self.addCleanup(settings.stop)
 
-    def test_faults_of_calls_end_with_one_line(self) -> None:
+    def test_a_failed_call_prints_one_line_and_exits(self) -> None:
         cases: tuple[tuple[str, BaseException, str], ...] = (
             ("no connection in time", TimeoutError(), "outcome is unknown: TimeoutError"),
             ("no connection at all", ConnectionRefusedError("refused"), "unknown: refused"),
@@ -38,9 +38,9 @@
                     raise fault
 
                 errors = io.StringIO()
-                with contextlib.redirect_stderr(errors), self.assertRaises(SystemExit) as ended:
+                with contextlib.redirect_stderr(errors), self.assertRaises(SystemExit) as caught:
                     call_control(work)
-                self.assertEqual(ended.exception.code, EXIT_UNKNOWN)
+                self.assertEqual(caught.exception.code, EXIT_UNKNOWN)
                 self.assertIn(expected, errors.getvalue())
                 self.assertEqual(len(errors.getvalue().splitlines()), 1)
 
--- a/packages/damsonlane_cli/src/damsonlane_cli/tests/test_examples.py
+++ b/packages/damsonlane_cli/src/damsonlane_cli/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""The examples that operators start from are good settings."""
+"""Tests that the example settings are valid."""
 
 import unittest
 from pathlib import Path
@@ -11,13 +11,13 @@
 
 
 class ExamplesTest(unittest.TestCase):
-    def test_trees_are_good(self) -> None:
+    def test_settings_trees_are_valid(self) -> None:
         for path in sorted(_EXAMPLES.glob("*/tree.json")):
             with self.subTest(path.parent.name):
                 tree = read_tree(read_document(path.read_text(), str(path)))
                 self.assertEqual((len(tree.organisations), len(tree.data_centres)), (5, 4))
 
-    def test_boxes_are_good(self) -> None:
+    def test_box_settings_are_valid(self) -> None:
         paths = [*_EXAMPLES.glob("*/control-*.json"), *_EXAMPLES.glob("*/entry-*.json")]
         self.assertEqual(len(paths), 8)
         for path in paths:
--- a/packages/damsonlane_cli/src/damsonlane_cli/tests/test_explain.py
+++ b/packages/damsonlane_cli/src/damsonlane_cli/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""Reading one request's lines out of logs."""
+"""Tests of the log lines shown for one request."""
 
 import contextlib
 import io
@@ -16,7 +16,7 @@
 
 
 class ExplainTest(unittest.TestCase):
-    def test_lines_of_all_boxes_come_in_order_with_the_meaning_of_the_end(self) -> None:
+    def test_lines_of_all_boxes_are_sorted_and_the_outcome_explained(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             first, second = Path(folder) / "a.log", Path(folder) / "b.log"
             first.write_text(
@@ -34,7 +34,7 @@
         self.assertIn("it may have run there", shown[3])
         self.assertEqual(len(shown), 4)
 
-    def test_a_request_whose_entry_was_lost_is_told(self) -> None:
+    def test_a_missing_outcome_means_that_the_entry_was_lost(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "a.log"
             path.write_text(make_line("10:00:01", "entry-1", "sent"))
@@ -56,7 +56,7 @@
                     explain("r1", *files)
                 self.assertNotIn("Traceback", errors.getvalue())
 
-    def test_lines_that_are_no_json_are_passed_over(self) -> None:
+    def test_lines_that_are_not_json_objects_are_ignored(self) -> None:
         texts = ['{"request": "r1"', "r1", '["r1"]', make_line("t", "b", "m")]
         self.assertEqual(len(list(read_lines(texts, "r1"))), 1)
 
--- a/packages/damsonlane_cli/src/damsonlane_cli/tests/test_losses.py
+++ b/packages/damsonlane_cli/src/damsonlane_cli/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""Naming the step in which a request lost its aim."""
+"""Tests of the report on why requests missed their latency objective."""
 
 import io
 import json
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from damsonlane_cli._losses import count_losses, find_endings
+from damsonlane_cli._losses import read_outcomes, report_losses
 
 ENDED: dict[str, Any] = {
     "outcome": "answered",
@@ -31,7 +31,7 @@
 
 
 class LossesTest(unittest.TestCase):
-    def test_each_request_is_counted_in_one_step(self) -> None:
+    def test_each_outcome_has_its_step(self) -> None:
         cases: tuple[tuple[str, int, dict[str, object]], ...] = (
             ("in aim", 0, {}),
             ("late, stages", 0, {"staged_seconds": 0.9, "first_event_seconds": 1.1}),
@@ -46,24 +46,24 @@
         )
         for step, waited_ms, ended in cases:
             with self.subTest(step, **ended):
-                found = find_endings(make_lines("a", waited_ms, **ended))
-                self.assertEqual([ending.step for ending in found], [step])
+                outcomes = read_outcomes(make_lines("a", waited_ms, **ended))
+                self.assertEqual([outcome.step for outcome in outcomes], [step])
 
-    def test_a_request_without_an_end_was_lost_with_its_entry(self) -> None:
-        found = find_endings(make_lines("a")[:1])
-        self.assertEqual([ending.step for ending in found], ["entry lost"])
+    def test_a_request_without_a_completion_was_lost_with_its_entry(self) -> None:
+        outcomes = read_outcomes(make_lines("a")[:1])
+        self.assertEqual([outcome.step for outcome in outcomes], ["entry lost"])
 
-    def test_rows_add_up_for_each_route(self) -> None:
+    def test_rows_have_the_share_of_each_step(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "a.log"
             lines = [*make_lines("a"), "no line of a log", *make_lines("b", outcome="cut")]
             path.write_text("\n".join(lines))
-            rows = count_losses([str(path)])
+            rows = report_losses([str(path)])
         self.assertEqual(
             [(row["step"], row["share"]) for row in rows], [("cut", 0.5), ("in aim", 0.5)]
         )
 
-    def test_logs_that_tell_nothing_end_with_an_error(self) -> None:
+    def test_logs_without_requests_end_with_an_error(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "a.log"
             path.write_text("nothing\n")
@@ -73,7 +73,7 @@
                     redirect_stderr(io.StringIO()),
                     self.assertRaises(SystemExit),
                 ):
-                    count_losses([name])
+                    report_losses([name])
 
 
 if __name__ == "__main__":
