--- a/packages/damsonlaned/src/damsonlaned/__init__.py
+++ b/packages/damsonlaned/src/damsonlaned/__init__.py
@@ -1,4 +1,4 @@
-"""The box daemon of damsonlane."""
+"""The daemon that runs on the boxes of damsonlane."""
 
 import sys
 from typing import Final
@@ -9,9 +9,9 @@
 
 __all__ = ["EXIT_FAILED", "EXIT_SETTINGS", "describe_failure", "main", "run_box"]
 
-#: Exit code when the settings are wrong.
+#: Exit code if the settings are invalid.
 EXIT_SETTINGS: Final = 2
-#: Exit code when the box can't start or its disk failed.
+#: Exit code if the box can't start or its disk failed.
 EXIT_FAILED: Final = 3
 
 
@@ -19,7 +19,7 @@
     """Run a box.
 
     Args:
-        settings: path of the file with the settings of the box.
+        settings: path of the settings file of the box.
     """
     try:
         clock.run(run_box(read_settings_file(str(settings))))
@@ -33,7 +33,7 @@
 
 def main() -> None:
     """Run the ``damsonlaned`` command."""
-    # Only this command needs the library, and a box that is started otherwise saves its memory.
+    # Imported here, since it would cost memory in programs that call `run_box` themselves.
     import fire
 
     fire.Fire(run, name="damsonlaned")
--- a/packages/damsonlaned/src/damsonlaned/_process.py
+++ b/packages/damsonlaned/src/damsonlaned/_process.py
@@ -1,4 +1,4 @@
-"""One process: settings, role, calls between boxes, and a clean stop."""
+"""Start and stop of a box's process, with its settings, TLS contexts and RPC server."""
 
 import asyncio
 import contextlib
@@ -28,10 +28,10 @@
 
 _LOG: Final = logging.getLogger(__name__)
 
-#: Seconds between looks at the settings, which may change without a signal.
-LOOK_SECONDS: Final = 3.0
+#: Seconds between checks for changed settings, which may come without a signal.
+SETTINGS_POLL_SECONDS: Final = 3.0
 
-#: Reads the settings of the box anew.
+#: Reads the settings of the box again.
 Reload = Callable[[], BoxSettings]
 
 
@@ -39,7 +39,7 @@
     """Read the settings of a box.
 
     Raises:
-        SettingsError: the file can't be read or is wrong; carries all findings.
+        SettingsError: the file can't be read or is invalid; carries all findings.
     """
     try:
         text = Path(path).read_text(encoding="utf-8")
@@ -51,23 +51,23 @@
 
 
 async def run_box(settings: BoxSettings, reload: Reload | None = None) -> None:
-    """Run a box until it is told to stop.
+    """Run a box until SIGTERM or SIGINT.
 
     Args:
         settings: settings of the box.
-        reload: reads the settings anew after SIGHUP; None where that changes nothing.
+        reload: reads the settings again, at intervals and on SIGHUP; None to keep them as they are.
 
     Raises:
-        DamsonlaneError: it can't start, or its disk failed.
+        DamsonlaneError: the box can't start, or its disk failed.
     """
-    # Until a handler is set the signal ends the process, and it may come while a box starts;
-    # the settings are looked at anyway once it has.
+    # Without a handler, a SIGHUP that comes while the box starts would end the process.  It can be
+    # ignored until then, since the settings are checked again once the box has started.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     configure_logs(settings.name, settings.role)
     _LOG.info("starting", extra={"pid": os.getpid()})
     keys = Keys(settings)
     try:
-        # Each role imports only what it uses: memory and starting time are scarce on small boxes.
+        # Each role imports only what it uses, which saves memory and start-up time on small boxes.
         if settings.role == "control":
             from damsonlaned.control._process import run_control
 
@@ -87,29 +87,29 @@
 
 
 class Keys:
-    """The TLS contexts of a process, renewed when their files change; None without TLS."""
+    """The TLS contexts of a process, reloaded when their files change; None without TLS."""
 
     def __init__(self, settings: BoxSettings) -> None:
         self.server: ssl.SSLContext | None = None
         self.client: ssl.SSLContext | None = None
-        self._watch: KeyWatch | None = None
+        self._reloader: KeyWatch | None = None
         if settings.tls is not None:
             self.server = make_server_context(settings.tls)
             self.client = make_client_context(settings.tls)
-            self._watch = KeyWatch(settings.tls, [self.server, self.client])
-            self._watch.start()
+            self._reloader = KeyWatch(settings.tls, [self.server, self.client])
+            self._reloader.start()
 
     async def stop(self) -> None:
         """Stop watching the files."""
-        if self._watch is not None:
-            await self._watch.stop()
+        if self._reloader is not None:
+            await self._reloader.stop()
 
 
 async def serve_boxes(settings: BoxSettings, service: Service, keys: Keys) -> Server:
-    """Serve the calls of other boxes.
+    """Start the server for calls of other boxes, and return it.
 
     Raises:
-        StorageError: the internal address can't be had.
+        StorageError: cannot listen on the internal address.
     """
     server = Server([service], codec=DataclassCodec())
     endpoint = Endpoint.parse(settings.internal_address)
@@ -122,33 +122,33 @@
 
 
 async def close_server(server: Server) -> None:
-    """Stop serving the calls of other boxes."""
+    """Stop the server for calls of other boxes."""
     server.close()
     await server.wait_closed()
 
 
 class SettingsWatch:
-    """Notices that the settings of the box have changed, by SIGHUP or by looking.
+    """Reloads the settings of the box and reports changes.
 
     Args:
-        settings: those that it started with.
-        reload: reads them anew; None where that changes nothing.
-        take_over: called with newer settings.
+        settings: the settings with which the box started.
+        reload: reads them again; None to keep them as they are.
+        on_change: called with changed settings.
     """
 
     def __init__(
         self,
         settings: BoxSettings,
         reload: Reload | None,
-        take_over: Callable[[BoxSettings], None],
+        on_change: Callable[[BoxSettings], None],
     ) -> None:
-        #: The newest that were read.
+        #: The settings that were read last.
         self.settings = settings
         self._reload: Final = reload
-        self._take_over: Final = take_over
+        self._on_change: Final = on_change
 
-    def look(self) -> None:
-        """Read the settings and hand them on if they differ from those known."""
+    def reload_if_changed(self) -> None:
+        """Read the settings and report them if they changed; log settings that are invalid."""
         if self._reload is None:
             return
         try:
@@ -159,23 +159,23 @@
         if newer != self.settings:
             self.settings = newer
             _LOG.info("settings reloaded", extra={"control": newer.control})
-            self._take_over(newer)
+            self._on_change(newer)
 
 
 async def wait_for_stop(watch: SettingsWatch) -> None:
-    """Wait for SIGTERM or SIGINT, looking at the settings now and then and at SIGHUP."""
+    """Wait for SIGTERM or SIGINT, and reload the settings on SIGHUP and at intervals."""
     stopped = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopped.set)
-    loop.add_signal_handler(signal.SIGHUP, watch.look)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopped.set)
+    loop.add_signal_handler(signal.SIGHUP, watch.reload_if_changed)
     while not stopped.is_set():
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(stopped.wait(), LOOK_SECONDS)
-        watch.look()
+            await asyncio.wait_for(stopped.wait(), SETTINGS_POLL_SECONDS)
+        watch.reload_if_changed()
     _LOG.info("stopping")
 
 
 def describe_failure(error: DamsonlaneError) -> str:
-    """Return a failure as the lines an operator reads."""
+    """Return the text of an error for the operator, with a prefix on each line."""
     return "\n".join(f"damsonlaned: {line}" for line in str(error).splitlines())
--- a/packages/damsonlaned/src/damsonlaned/admin.py
+++ b/packages/damsonlaned/src/damsonlaned/admin.py
@@ -1,4 +1,4 @@
-"""The admin address: metrics and readiness."""
+"""The admin server of a box: metrics, liveness and readiness."""
 
 from collections.abc import Callable
 from typing import Final
@@ -13,9 +13,9 @@
     """Serves ``/metrics``, ``/livez`` and ``/readyz``.
 
     Args:
-        address: where to listen.
-        metrics: what is served.
-        is_ready: tells whether the process does its work.
+        address: address to listen on.
+        metrics: the metrics to serve.
+        is_ready: returns whether the process is ready to serve.
         refresh: called before metrics are rendered.
     """
 
@@ -29,13 +29,13 @@
         self._metrics: Final = metrics
         self._is_ready: Final = is_ready
         self._refresh: Final = refresh
-        self._listener: Final = WebListener(address, self._answer, render_refusal=_render)
+        self._listener: Final = WebListener(address, self._handle, render_refusal=_render_text)
 
     async def start(self) -> None:
         """Start serving.
 
         Raises:
-            StorageError: the address can't be had.
+            StorageError: cannot listen on the address.
         """
         await self._listener.start()
 
@@ -43,18 +43,18 @@
         """Stop serving."""
         await self._listener.stop()
 
-    async def _answer(self, request: HttpRequest, reply: Reply) -> None:
+    async def _handle(self, request: HttpRequest, reply: Reply) -> None:
         if request.path == "/metrics":
             self._refresh()
             body = self._metrics.render()
             reply.send_whole(HttpResponse(status=200, headers=_TEXT, body=body))
         elif request.path == "/livez" or (request.path == "/readyz" and self._is_ready()):
-            reply.send_whole(_render(200, "ok"))
+            reply.send_whole(_render_text(200, "ok"))
         elif request.path == "/readyz":
-            reply.send_whole(_render(503, "not ready"))
+            reply.send_whole(_render_text(503, "not ready"))
         else:
-            reply.send_whole(_render(404, "see /metrics, /livez and /readyz"))
+            reply.send_whole(_render_text(404, "see /metrics, /livez and /readyz"))
 
 
-def _render(status: int, detail: str) -> HttpResponse:
+def _render_text(status: int, detail: str) -> HttpResponse:
     return HttpResponse(status=status, headers=_TEXT, body=f"{detail}\n".encode())
--- a/packages/damsonlaned/src/damsonlaned/clock.py
+++ b/packages/damsonlaned/src/damsonlaned/clock.py
@@ -1,4 +1,4 @@
-"""The clock of a box's processes: seconds since it booted, suspended time included."""
+"""The clock of a box: seconds since it booted, including time while it was suspended."""
 
 import asyncio
 import time
@@ -7,29 +7,29 @@
 
 Result = TypeVar("Result")
 
-#: CLOCK_MONOTONIC stands still while the box is suspended, so what was due by it came late:
-#: requests were kept beyond their deadline, and old state counted as new.
+#: CLOCK_MONOTONIC stops while the box is suspended: with it, requests would be kept beyond their
+#: deadline, and stale state would count as fresh.
 _CLOCK: Final = time.CLOCK_BOOTTIME
 
 
 def read_clock() -> float:
-    """Return the seconds since the box booted, suspended time included."""
+    """Return the seconds since the box booted, including time while it was suspended."""
     return time.clock_gettime(_CLOCK)
 
 
-class BoxLoop(asyncio.SelectorEventLoop):
-    """An event loop that counts suspended time.
+class BootTimeEventLoop(asyncio.SelectorEventLoop):
+    """An event loop whose time includes time while the box was suspended.
 
-    What fell due meanwhile runs as soon as anything wakes the loop; a replica and an entry
-    hear of each other four times a second.
+    Timers that expire while the box is suspended run as soon as an event wakes the loop; the
+    messages between replicas and entries do so four times a second.
     """
 
     def time(self) -> float:
-        """Return the time by the box's clock."""
+        """Return the time by the clock of the box, in seconds."""
         return read_clock()
 
 
 def run(work: Coroutine[Any, Any, Result]) -> Result:
-    """Run the work of a process to its end, in a loop with the box's clock."""
-    with asyncio.Runner(loop_factory=BoxLoop) as runner:
+    """Run a coroutine to completion in an event loop with the clock of the box."""
+    with asyncio.Runner(loop_factory=BootTimeEventLoop) as runner:
         return runner.run(work)
--- a/packages/damsonlaned/src/damsonlaned/metrics.py
+++ b/packages/damsonlaned/src/damsonlaned/metrics.py
@@ -7,74 +7,78 @@
 
 from damsonlane_rpc import TRAFFIC
 
-#: Upper bounds of the time histograms, in seconds.
-_BUCKETS: Final = [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0]
+#: Upper bounds of the buckets of time histograms, in seconds.
+_TIME_BUCKETS: Final = [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0]
 
 
 class Metrics:
-    """All metrics of one process, in a registry of their own."""
+    """All metrics of one process, in their own registry."""
 
     def __init__(self) -> None:
         self.registry: Final = Registry()
         self.requests: Final = Counter(
-            "damsonlane_requests_total", "Requests ended.", registry=self.registry
+            "damsonlane_requests_total", "Completed requests.", registry=self.registry
         )
         self.seconds: Final = Histogram(
             "damsonlane_request_seconds",
-            "Time from arrival to ending.",
-            buckets=_BUCKETS,
+            "Time from arrival to completion, in seconds.",
+            buckets=_TIME_BUCKETS,
             registry=self.registry,
         )
         self.attempts: Final = Counter(
             "damsonlane_attempts_total", "Attempts at targets.", registry=self.registry
         )
         self.in_flight: Final = Gauge(
-            "damsonlane_in_flight", "Requests inside the entry.", registry=self.registry
+            "damsonlane_in_flight", "Requests that the entry is handling.", registry=self.registry
         )
         self.version: Final = Gauge(
-            "damsonlane_settings_version", "Settings in force.", registry=self.registry
+            "damsonlane_settings_version",
+            "Version of the settings in force.",
+            registry=self.registry,
         )
         self.evacuated: Final = Gauge(
             "damsonlane_evacuated_data_centres",
-            "Data centres whose targets get nothing new.",
+            "Evacuated data centres, whose targets get no new requests.",
             registry=self.registry,
         )
         self.held: Final = Gauge(
             "damsonlane_held_requests",
-            "Requests that are kept from targets, since targets ended under them.",
+            "Quarantined requests, which targets do not get since targets exited under them.",
             registry=self.registry,
         )
         self.backing_off: Final = Gauge(
             "damsonlane_backing_off_targets",
-            "Targets that want nothing from this box, those that say they leave included.",
+            "Targets that requested back-off from this box, or announced that they are draining.",
             registry=self.registry,
         )
         self.limited: Final = Gauge(
             "damsonlane_limited_targets",
-            "Targets that named how many requests a second they take from all boxes.",
+            "Targets that announced a rate limit for the requests of all boxes.",
             registry=self.registry,
         )
         self.commit: Final = Gauge(
-            "damsonlane_commit_index", "Last committed log entry.", registry=self.registry
+            "damsonlane_commit_index",
+            "Index of the last committed log entry.",
+            registry=self.registry,
         )
         self.is_leader: Final = Gauge(
-            "damsonlane_is_leader", "1 while this replica leads.", registry=self.registry
+            "damsonlane_is_leader", "1 while this replica is the leader.", registry=self.registry
         )
 
         self.pool_pieces: Final = Counter(
             "damsonlane_pool_pieces_total",
-            "Pieces of the stage pools that this box owns, by what became of them.",
+            "Pieces of the stage pools that this box owns, by outcome.",
             registry=self.registry,
         )
         self.pool_call_seconds: Final = Histogram(
             "damsonlane_pool_call_seconds",
-            "Time of calls to the targets of stage pools that this box owns.",
-            buckets=_BUCKETS,
+            "Duration of calls to targets of the stage pools that this box owns, in seconds.",
+            buckets=_TIME_BUCKETS,
             registry=self.registry,
         )
         self.pool_waiting: Final = Gauge(
             "damsonlane_pool_waiting",
-            "Pieces that wait at the stage pools that this box owns.",
+            "Queued pieces of the stage pools that this box owns.",
             registry=self.registry,
         )
         self.messages: Final = Gauge(
@@ -85,7 +89,7 @@
         )
 
     def render(self) -> bytes:
-        """Return all metrics in the text format."""
+        """Return all metrics in the Prometheus text format."""
         self.messages.set({"direction": "sent"}, TRAFFIC.messages_sent)
         self.messages.set({"direction": "received"}, TRAFFIC.messages_received)
         self.bytes.set({"direction": "sent"}, TRAFFIC.bytes_sent)
--- a/packages/damsonlaned/src/damsonlaned/servers.py
+++ b/packages/damsonlaned/src/damsonlaned/servers.py
@@ -1,4 +1,4 @@
-"""HTTP servers by cheroot."""
+"""A WSGI server in threads, by cheroot."""
 
 import contextlib
 import threading
@@ -11,8 +11,8 @@
 from damsonlane.errors import StorageError
 from damsonlane_rpc import Endpoint
 
-#: Headers that may stand once only.
-_SINGLE: Final = frozenset(
+#: Headers that a request may have only once.
+_SINGLE_HEADERS: Final = frozenset(
     {
         b"Authorization",
         b"Content-Length",
@@ -22,48 +22,51 @@
         b"Idempotency-Key",
     }
 )
-_REPEATED: Final = b"Damsonlane-Repeated-Header"
-_LENGTH: Final = b"Content-Length"
-#: Largest head of a request, in bytes; as for entries that serve routes.
-_HEADER_BYTES: Final = 16_384
-#: How the library begins to say that a head is too large.
-_HEADERS_TOO_LARGE: Final = "The headers sent"
-#: Seconds for which an idle connection is kept.
-_IDLE_SECONDS: Final = 10
-#: Connections that may wait for a thread or be accepted.
+#: Set by us, with the name of a header that was repeated although it may be there only once.
+_REPEATED_HEADER: Final = b"Damsonlane-Repeated-Header"
+_CONTENT_LENGTH: Final = b"Content-Length"
+#: Largest head of a request, in bytes; the same as at entries that serve routes.
+_MAX_HEADER_BYTES: Final = 16_384
+#: Prefix of the library's message that a head is too large.
+_HEADERS_TOO_LARGE_PREFIX: Final = "The headers sent"
+#: Seconds after which an idle connection is closed.
+_IDLE_TIMEOUT_SECONDS: Final = 10
+#: Connections that may be queued until they are accepted or get a thread.
 _BACKLOG: Final = 512
-#: Idle connections that may be kept.
-_IDLE_CONNECTIONS: Final = 10_000
+#: Most idle connections that are kept open.
+_MAX_IDLE_CONNECTIONS: Final = 10_000
 
+#: A WSGI application.
 Application = Callable[[Any, Any], Iterable[bytes]]
 
 
 class _Headers(dict[bytes, bytes]):
-    """Headers as cheroot collects them, with a mark when one stands twice."""
+    """The headers of a request, with one more that names a header that was repeated."""
 
     def __setitem__(self, name: bytes, value: bytes) -> None:
-        if name in _SINGLE and name in self:
-            super().__setitem__(_REPEATED, name)
+        if name in _SINGLE_HEADERS and name in self:
+            super().__setitem__(_REPEATED_HEADER, name)
         super().__setitem__(name, value)
 
 
 class _StrictHeaderReader(cheroot_server.HeaderReader):
-    """Reads headers, and refuses a request whose end is in doubt.
+    """Reads headers, and refuses a request whose length is ambiguous.
 
-    cheroot takes the last of two lengths, and chunks although a length is there.
+    Guards against request smuggling: cheroot uses the last of two lengths, and accepts chunks
+    beside a length.
     """
 
     def __call__(self, rfile: Any, hdict: Any = None) -> Any:
         headers = super().__call__(rfile, hdict)
-        if headers.get(_REPEATED) == _LENGTH:
+        if headers.get(_REPEATED_HEADER) == _CONTENT_LENGTH:
             raise ValueError("a request has one length")
-        if _LENGTH in headers and b"Transfer-Encoding" in headers:
+        if _CONTENT_LENGTH in headers and b"Transfer-Encoding" in headers:
             raise ValueError("a request has a length or chunks, not both")
         return headers
 
 
 class _Request(cheroot_server.HTTPRequest):
-    """A request that notices repeated headers."""
+    """A request that detects repeated headers."""
 
     header_reader = _StrictHeaderReader()
 
@@ -72,8 +75,8 @@
         self.inheaders = _Headers()
 
     def simple_response(self, status: Any, msg: str = "") -> None:
-        """Answer bytes that are no proper request, and say that the connection closes."""
-        if msg.startswith(_HEADERS_TOO_LARGE):
+        """Send an error response to an invalid request, and close the connection."""
+        if msg.startswith(_HEADERS_TOO_LARGE_PREFIX):
             status = "431 Request Header Fields Too Large"
         self.close_connection = True
         body = msg.encode("latin-1", "replace")
@@ -81,35 +84,35 @@
             f"{self.server.protocol} {status}\r\nContent-Length: {len(body)}\r\n"
             "Content-Type: text/plain\r\nConnection: close\r\n\r\n"
         )
-        # A caller that is gone needs no answer.
+        # The caller may have closed the connection.
         with contextlib.suppress(OSError):
             self.conn.wfile.write(head.encode("latin-1") + body)
 
 
 class _Connection(cheroot_server.HTTPConnection):
-    """A connection whose requests notice repeated headers."""
+    """A connection whose requests detect repeated headers."""
 
     RequestHandlerClass = _Request
 
 
 class _Server(wsgi.Server):
-    """A server that keeps as many idle connections as a fleet of callers has."""
+    """A server that keeps the idle connections of many callers open."""
 
     ConnectionClass = _Connection
-    keep_alive_conn_limit = _IDLE_CONNECTIONS
-    max_request_header_size = _HEADER_BYTES
+    keep_alive_conn_limit = _MAX_IDLE_CONNECTIONS
+    max_request_header_size = _MAX_HEADER_BYTES
 
     def error_log(self, msg: str = "", level: int = 20, traceback: bool = False) -> None:
-        """Drop cheroot's own messages: broken connections of callers are not ours to report."""
+        """Suppress cheroot's messages, which are about broken connections of callers."""
 
 
 class HttpServer:
     """A WSGI server in threads of its own.
 
     Args:
-        address: where to listen.
-        application: what answers.
-        threads: requests served at once.
+        address: address to listen on.
+        application: the WSGI application.
+        threads: number of threads, that is, of requests served at once.
     """
 
     def __init__(self, address: str, application: Application, threads: int) -> None:
@@ -120,16 +123,16 @@
             numthreads=threads,
             max=threads,
             request_queue_size=_BACKLOG,
-            timeout=_IDLE_SECONDS,
+            timeout=_IDLE_TIMEOUT_SECONDS,
         )
         self._server.server_name = "damsonlane"
         self._thread: threading.Thread | None = None
 
     def start(self) -> None:
-        """Listen and serve.
+        """Start serving.
 
         Raises:
-            StorageError: the address can't be had.
+            StorageError: cannot listen on the address.
         """
         try:
             self._server.prepare()
@@ -140,7 +143,7 @@
         self._thread.start()
 
     def waiting(self) -> int:
-        """Return the requests that no thread has taken yet."""
+        """Return the number of connections that wait for a thread."""
         return int(self._server.requests.qsize)
 
     def stop(self) -> None:
--- a/packages/damsonlaned/src/damsonlaned/tasks.py
+++ b/packages/damsonlaned/src/damsonlaned/tasks.py
@@ -1,4 +1,4 @@
-"""Background tasks whose failures are never silent."""
+"""Background tasks whose failures are logged."""
 
 import asyncio
 import logging
@@ -11,17 +11,17 @@
 
 
 def start_task(work: Coroutine[Any, Any, Result], name: str) -> asyncio.Task[Result]:
-    """Start a task that nobody awaits; a failure inside it is logged with its trace.
+    """Start a task that is not awaited; an exception in it is logged with its traceback.
 
     Args:
-        work: what the task does.
-        name: says in logs which task it is.
+        work: coroutine to run.
+        name: name of the task in logs.
     """
     task = asyncio.create_task(work, name=name)
-    task.add_done_callback(_tell_failure)
+    task.add_done_callback(_log_failure)
     return task
 
 
-def _tell_failure(task: asyncio.Task[Any]) -> None:
+def _log_failure(task: asyncio.Task[Any]) -> None:
     if not task.cancelled() and task.exception() is not None:
         _LOG.error("task failed", extra={"task": task.get_name()}, exc_info=task.exception())
--- a/packages/damsonlaned/src/damsonlaned/tests/addresses.py
+++ b/packages/damsonlaned/src/damsonlaned/tests/addresses.py
@@ -1,15 +1,15 @@
-"""Loopback addresses for the servers of tests."""
+"""Free loopback addresses for servers of tests."""
 
 import socket
 
 
 def find_address() -> str:
-    """Return an address that nobody listens at."""
+    """Return an address that nothing listens on."""
     return find_addresses(1)[0]
 
 
 def find_addresses(count: int) -> list[str]:
-    """Return several of them, in order."""
+    """Return several addresses that nothing listens on, sorted."""
     sockets = [socket.socket() for _ in range(count)]
     for item in sockets:
         item.bind(("127.0.0.1", 0))
--- a/packages/damsonlaned/src/damsonlaned/tests/test_process.py
+++ b/packages/damsonlaned/src/damsonlaned/tests/test_process.py
@@ -1,4 +1,4 @@
-"""Noticing changed settings, and logs whose reader stalls."""
+"""Tests of the reload of settings, and of logs whose reader stalls."""
 
 import logging
 import os
@@ -8,7 +8,7 @@
 from damsonlane.errors import SettingsError
 from damsonlane.settings import BoxSettings
 from damsonlaned._process import SettingsWatch
-from damsonlaned.logs import _BUFFER_BYTES, BoundedHandler
+from damsonlaned.logs import _BUFFER_BYTES, NonBlockingHandler
 
 SETTINGS = BoxSettings(
     name="box",
@@ -21,35 +21,35 @@
 )
 
 
-class SettingsWatchTest(unittest.TestCase):
-    def test_only_changed_settings_are_handed_on(self) -> None:
+class SettingsReloaderTest(unittest.TestCase):
+    def test_only_changed_settings_are_reported(self) -> None:
         newer = replace(SETTINGS, control=("127.0.0.1:4",))
-        found = [SETTINGS, newer, newer]
-        taken: list[BoxSettings] = []
-        watch = SettingsWatch(SETTINGS, lambda: found.pop(0), taken.append)
+        reads = [SETTINGS, newer, newer]
+        reported: list[BoxSettings] = []
+        reloader = SettingsWatch(SETTINGS, lambda: reads.pop(0), reported.append)
         for _ in range(3):
-            watch.look()
-        self.assertEqual(taken, [newer])
+            reloader.reload_if_changed()
+        self.assertEqual(reported, [newer])
 
     def test_settings_that_cannot_be_read_change_nothing(self) -> None:
         def fail() -> BoxSettings:
             raise SettingsError([])
 
-        taken: list[BoxSettings] = []
+        reported: list[BoxSettings] = []
         with self.assertLogs("damsonlaned._process", "ERROR"):
-            SettingsWatch(SETTINGS, fail, taken.append).look()
-        self.assertEqual(taken, [])
+            SettingsWatch(SETTINGS, fail, reported.append).reload_if_changed()
+        self.assertEqual(reported, [])
 
 
-class BoundedHandlerTest(unittest.TestCase):
-    def test_a_reader_that_stalls_never_holds_the_process_up(self) -> None:
+class NonBlockingHandlerTest(unittest.TestCase):
+    def test_a_stalled_reader_never_blocks_the_process(self) -> None:
         reader, writer = os.pipe()
         self.addCleanup(os.close, reader)
         self.addCleanup(os.close, writer)
-        handler = BoundedHandler(writer)
+        handler = NonBlockingHandler(writer)
         line = "x" * 1000
         record = logging.LogRecord("n", logging.INFO, "f", 1, line, (), None)
-        # The pipe and the buffer take some hundred lines; nobody reads them.
+        # The pipe and the buffer hold fewer lines than these, and nothing reads them.
         for _ in range(3 * _BUFFER_BYTES // 1000):
             handler.emit(record)
         os.set_blocking(reader, False)
--- a/packages/damsonlaned/src/damsonlaned/tests/test_servers.py
+++ b/packages/damsonlaned/src/damsonlaned/tests/test_servers.py
@@ -1,4 +1,4 @@
-"""The server of the pipelines' entry, spoken to with raw bytes."""
+"""Tests of the WSGI server with raw bytes, among them ambiguous requests."""
 
 import socket
 import unittest
@@ -7,24 +7,25 @@
 
 from damsonlaned.servers import HttpServer
 
-#: Seconds after which a test gives up.
-PATIENCE = 20.0
+#: Time-out of a connection, in seconds.
+TIMEOUT_SECONDS = 20.0
+#: The first lines of a request.
 POST = b"POST /a HTTP/1.1\r\nHost: h\r\n"
 
-#: What is sent, and the status; each connection is said to close, and closes.
+#: Name, bytes sent, and the status of the answer.
 CASES = (
     ("two lengths", POST + b"Content-Length: 3\r\nContent-Length: 9\r\n\r\nabc", 400),
     (
-        "a length beside chunks",
+        "a length and chunks",
         POST + b"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
         400,
     ),
-    ("a length that is no number", POST + b"Content-Length: x\r\n\r\n", 400),
+    ("a length that is not a number", POST + b"Content-Length: x\r\n\r\n", 400),
     ("a head that is too large", POST + b"X: " + b"x" * 200_000 + b"\r\n\r\n", 431),
 )
 
 
-def answer(environment: dict[str, Any], start: Any) -> Iterable[bytes]:
+def echo(environment: dict[str, Any], start: Any) -> Iterable[bytes]:
     body = environment["wsgi.input"].read()
     start("200 OK", [("Content-Length", str(len(body)))])
     return [body]
@@ -32,24 +33,24 @@
 
 class RawBytesTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.server = HttpServer("127.0.0.1:0", answer, threads=2)
+        self.server = HttpServer("127.0.0.1:0", echo, threads=2)
         self.server.start()
         self.addCleanup(self.server.stop)
 
     def exchange(self, sent: bytes) -> bytes:
         address = self.server._server.bind_addr
-        with socket.create_connection(address, timeout=PATIENCE) as connection:
+        with socket.create_connection(address, timeout=TIMEOUT_SECONDS) as connection:
             data = b""
             try:
                 connection.sendall(sent)
                 while part := connection.recv(65_536):
                     data += part
             except ConnectionError:
-                # A caller that still sends is reset after its answer.
+                # The server resets a connection whose client still sends after the answer.
                 pass
             return data
 
-    def test_a_request_whose_end_is_in_doubt_is_refused_and_its_connection_closed(self) -> None:
+    def test_invalid_requests_are_refused_and_their_connections_closed(self) -> None:
         for name, sent, status in CASES:
             with self.subTest(name):
                 data = self.exchange(sent)
@@ -57,7 +58,7 @@
                 self.assertIn(b"Connection: close", data)
                 self.assertEqual(data.count(b"HTTP/1.1"), 1)
 
-    def test_a_proper_request_is_served(self) -> None:
+    def test_a_valid_request_is_served(self) -> None:
         data = self.exchange(POST + b"Content-Length: 3\r\nConnection: close\r\n\r\nabc")
         self.assertTrue(data.endswith(b"abc"), data)
 
