--- a/packages/damsonlane_rpc/src/damsonlane_rpc/_fleet_messages.py
+++ b/packages/damsonlane_rpc/src/damsonlane_rpc/_fleet_messages.py
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class FollowUpdate:
-    """Changes since an entry's report; without any, a heartbeat that says how stale they may be."""
+    """Changes since an entry's report; without any, a heartbeat with the sender's staleness."""
 
     #: Upper bound of the staleness of the sender's state, in seconds: it includes everything
     #: that was acknowledged longer ago than this.  None if unknown.
--- a/packages/damsonlane_rpc/src/damsonlane_rpc/_messages.py
+++ b/packages/damsonlane_rpc/src/damsonlane_rpc/_messages.py
@@ -231,7 +231,7 @@
 
     #: Name of the box.
     box: str
-    #: Random id of the run of its process.
+    #: Random id, drawn at each start of its process.
     incarnation: str
     #: Its data centre.
     data_centre: str
--- a/packages/damsonlaned/src/damsonlaned/servers.py
+++ b/packages/damsonlaned/src/damsonlaned/servers.py
@@ -143,7 +143,7 @@
         self._thread.start()
 
     def waiting(self) -> int:
-        """Return the number of connections that wait for a thread."""
+        """Return the number of requests that wait for a thread."""
         return int(self._server.requests.qsize)
 
     def stop(self) -> None:
