--- a/packages/damsonlane_bench/src/damsonlane_bench/fleet/_fleet.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/fleet/_fleet.py
@@ -14,8 +14,8 @@
 from typing import Any, Final
 
 from damsonlane.settings import TlsFiles
+from damsonlane_bench.fleet._certificates import KeyMaker
 from damsonlane_bench.fleet._http import Response, send
-from damsonlane_bench.fleet._keys import KeyMaker
 from damsonlane_bench.fleet._ports import take_address
 from damsonlane_bench.fleet._processes import Process, find_program
 from damsonlane_bench.fleet._waiting import StuckError, wait_until
--- a/packages/damsonlane_bench/src/damsonlane_bench/standin/_server.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/standin/_server.py
@@ -8,17 +8,17 @@
 from dataclasses import asdict
 from typing import Any, Final
 
-from damsonlane_bench.standin import _texts
+from damsonlane_bench.standin import _stage_functions
 from damsonlane_bench.standin._behaviour import Behaviour, is_due
-from damsonlane_bench.standin._oracle import Execution, Oracle
+from damsonlane_bench.standin._execution_counter import Execution, Oracle
 
 #: Longest part of an input that the oracle keeps.
 _KEPT_TEXT: Final = 200
 
 _STAGES: Final[dict[str, Callable[[str], str]]] = {
-    "encode": _texts.encode,
-    "retrieve": _texts.retrieve,
-    "rerank": _texts.rerank,
+    "encode": _stage_functions.encode,
+    "retrieve": _stage_functions.retrieve,
+    "rerank": _stage_functions.rerank,
 }
 
 #: Input that no target survives.
@@ -82,7 +82,7 @@
         if is_due(behaviour.fail_every, count):
             return self._answer_json(start, {"error": "planned"}, "500 Internal Server Error")
         answer = {name: body[name] for name in ("request", "organisation", "stage", "attempt")}
-        answer["output"] = _STAGES.get(body["stage"], _texts.encode)(text)
+        answer["output"] = _STAGES.get(body["stage"], _stage_functions.encode)(text)
         if is_due(behaviour.cross_every, count):
             answer["request"] = "another"
         data = json.dumps(answer).encode()
@@ -112,7 +112,7 @@
         self._record(metadata, prompt)
         if is_due(behaviour.cross_every, count):
             metadata["request"] = "another"
-        tokens = _texts.generate(prompt)
+        tokens = _stage_functions.generate(prompt)
         if is_due(behaviour.truncate_every, count):
             tokens = tokens[: len(tokens) // 2]
         for token in tokens:
