--- a/packages/damsonlaned/src/damsonlaned/dialects/__init__.py
+++ b/packages/damsonlaned/src/damsonlaned/dialects/__init__.py
@@ -1,7 +1,8 @@
-"""Dialects: how callers, targets and operators speak HTTP to damsonlane.
+"""Dialects: the HTTP interfaces that callers, targets and operators use.
 
-A dialect only translates.  `damsonlane` is the product's own; another one is
-added by a module that registers it with `dialect`.
+A dialect only translates between HTTP and the types of this package.
+`damsonlane` is the native one; a module adds another by registering it with the
+decorator `dialect`.
 """
 
 from damsonlaned.dialects._header_dialect import HeaderDialect
@@ -18,7 +19,7 @@
     Evacuate,
     Heartbeat,
     MadePiece,
-    PrefixPart,
+    PrefixSegment,
     PutDocument,
     ReadDocument,
     Refusal,
@@ -41,7 +42,7 @@
     "MadePiece",
     "NativeDialect",
     "PathNames",
-    "PrefixPart",
+    "PrefixSegment",
     "PutDocument",
     "ReadDocument",
     "Refusal",
--- a/packages/damsonlaned/src/damsonlaned/dialects/_header_dialect.py
+++ b/packages/damsonlaned/src/damsonlaned/dialects/_header_dialect.py
@@ -1,4 +1,4 @@
-"""A dialect whose names are data: what most dialects share."""
+"""Base class of dialects that differ in header names, paths and bodies."""
 
 import json
 from abc import abstractmethod
@@ -20,7 +20,7 @@
     Departure,
     Evacuate,
     Heartbeat,
-    PrefixPart,
+    PrefixSegment,
     PutDocument,
     ReadDocument,
     Refusal,
@@ -36,23 +36,22 @@
     read_retry_after,
 )
 
-#: Longest deadline that is taken at its word, in seconds; a day.
-_LONGEST_DEADLINE: Final = 86_400.0
+#: Longest deadline that callers may set, in seconds; longer ones are cut to it.
+_MAX_DEADLINE_SECONDS: Final = 86_400.0
 #: Most pieces that one stage of one request may have.
-_MOST_PIECES: Final = 10_000
-#: Status by which a target says that it is the one that has too much to do.  429 speaks of
-#: the caller, and what it asks for goes to the caller unread.
-_BUSY_STATUS: Final = 503
-#: Type of the bodies that this box writes to targets.
-_JSON: Final = (b"Content-Type", b"application/json")
-#: Host that our own requests name.
-_HOST: Final = (b"Host", b"damsonlane")
+_MAX_PIECES: Final = 10_000
+#: Status of a target that is overloaded.  Only with it is ``Retry-After`` read as a back-off of
+#: the target: 429 is about the caller, and its ``Retry-After`` is forwarded to the caller unread.
+_OVERLOADED_STATUS: Final = 503
+_JSON_CONTENT_TYPE: Final = (b"Content-Type", b"application/json")
+#: Host header of requests that this box originates.
+_HOST_HEADER: Final = (b"Host", b"damsonlane")
 
 
 class HeaderDialect(Dialect):
-    """Reads and writes headers under the names that a subclass gives.
+    """Reads and writes headers under the names that a subclass defines.
 
-    What bodies hold is left to the subclass.
+    The subclass encodes and decodes the bodies.
     """
 
     #: Names of the headers.
@@ -62,12 +61,12 @@
 
     def __init__(self) -> None:
         names = self.headers
-        self._lower: Final = {
+        self._lower_names: Final = {
             field.name: getattr(names, field.name).lower().encode()
             for field in fields(names)
             if field.name not in ("key_scheme", "reserved")
         }
-        own = (
+        set_by_us = (
             names.key,
             names.organisation,
             names.target,
@@ -75,14 +74,14 @@
             names.urgency,
             names.source,
         )
-        hidden = (*own, names.inputs, "Expect", *names.reserved)
-        self._hidden: Final = frozenset(name.lower().encode() for name in hidden)
+        not_forwarded = (*set_by_us, names.inputs, "Expect", *names.reserved)
+        self._not_forwarded: Final = frozenset(name.lower().encode() for name in not_forwarded)
 
     # Callers.
 
     def read_caller(self, request: HttpRequest) -> CallerRequest:
-        """Return a caller's request."""
-        request_id = self._find(request, "request_id")
+        """Decode a caller's request."""
+        request_id = self._find_header(request, "request_id")
         if not request_id:
             raise BadRequestError(f"the header {self.headers.request_id} is missing")
         tokens_in, tokens_out = self._read_tokens(request)
@@ -90,17 +89,17 @@
             http=request,
             request_id=request_id,
             host=request.find(b"host") or "",
-            key=(self._find(request, "key") or "").removeprefix(self.headers.key_scheme),
+            key=(self._find_header(request, "key") or "").removeprefix(self.headers.key_scheme),
             deadline_seconds=self._read_deadline(request),
             prefix=self._read_prefix(request),
             tokens_in=tokens_in,
             tokens_out=tokens_out,
             pieces=self._read_pieces(request),
-            material_key=self._find(request, "material_key") or "",
+            material_key=self._find_header(request, "material_key") or "",
         )
 
     def render_refusal(self, refusal: Refusal, request_id: str) -> HttpResponse:
-        """Return an answer of our own as a problem document (RFC 9457)."""
+        """Return an error response of our own as a problem document (RFC 9457)."""
         problem = {
             "status": refusal.status,
             "detail": refusal.detail,
@@ -116,26 +115,26 @@
         )
 
     def is_ready_call(self, request: HttpRequest) -> bool:
-        """Tell whether a request asks if this entry takes requests."""
+        """Return whether a request is a readiness check of this entry."""
         return request.path == self.paths.ready
 
     # Targets.
 
     def make_request(self, request: CallerRequest, attempt: Attempt) -> HttpRequest:
-        """Return what is sent to a target."""
-        kept = keep_end_to_end(request.http.headers)
-        hidden = self._hidden
+        """Return the request that is sent to a target for an attempt."""
+        end_to_end = keep_end_to_end(request.http.headers)
+        not_forwarded = self._not_forwarded
         if attempt.last_event is not None:
-            hidden = hidden | {self._lower["last_event"]}
-        passed = tuple(item for item in kept if item[0].lower() not in hidden)
+            not_forwarded = not_forwarded | {self._lower_names["last_event"]}
+        forwarded = tuple(item for item in end_to_end if item[0].lower() not in not_forwarded)
         return HttpRequest(
             method=request.http.method,
             target=request.http.target,
-            headers=(*passed, *self._attempt_headers(attempt)),
+            headers=(*forwarded, *self._make_attempt_headers(attempt)),
             body=request.http.body,
         )
 
-    def _attempt_headers(self, attempt: Attempt) -> HeaderList:
+    def _make_attempt_headers(self, attempt: Attempt) -> HeaderList:
         names = self.headers
         milliseconds = max(1, int(attempt.remaining_seconds * 1000))
         values = [(names.deadline_ms, str(milliseconds)), (names.target, attempt.target)]
@@ -152,28 +151,28 @@
         return tuple((name.encode(), value.encode("latin-1")) for name, value in values)
 
     def read_signs(self, head: HttpHead) -> AnswerSigns:
-        """Return what the head of a target's answer says."""
-        kind = head.find(b"content-type") or ""
+        """Return the signals in the head of a target's response."""
+        content_type = head.find(b"content-type") or ""
         return AnswerSigns(
-            request_id=head.find(self._lower["request_id"]),
-            has_not_run=head.find(self._lower["not_run"]) is not None or head.status == 421,
-            load=_read_load(head.find(self._lower["load"])),
-            is_stream=kind.startswith("text/event-stream"),
+            request_id=head.find(self._lower_names["request_id"]),
+            has_not_run=head.find(self._lower_names["not_run"]) is not None or head.status == 421,
+            load=_read_load(head.find(self._lower_names["load"])),
+            is_stream=content_type.startswith("text/event-stream"),
             backoff_seconds=_read_backoff(head),
-            is_leaving=(head.find(self._lower["leaving"]) or "").strip() not in ("", "0"),
-            rate_limit=read_rate_limit(head.find_all(self._lower["rate_limit"])),
+            is_leaving=(head.find(self._lower_names["leaving"]) or "").strip() not in ("", "0"),
+            rate_limit=read_rate_limit(head.find_all(self._lower_names["rate_limit"])),
         )
 
     # Stage pools.
 
     def read_maker(self, handle: str) -> str:
-        """Return the address of the target that holds a result; a handle begins with it."""
+        """Return the address of the pool target that stores a result; handles begin with it."""
         return handle.partition("/")[0]
 
-    # Control.
+    # Calls to control replicas.
 
     def read_control_call(self, request: HttpRequest) -> ControlCall | None:
-        """Return a call to control, or None when there is no such call."""
+        """Decode a call to a control replica; None if its path or method is unknown."""
         path = request.path
         if path == self.paths.document and request.method == "PUT":
             return PutDocument(text=request.body)
@@ -194,79 +193,84 @@
 
     @abstractmethod
     def read_departure(self, body: bytes) -> int:
-        """Return the start of a target that leaves, in Unix milliseconds; 0 if it says none."""
+        """Return the incarnation's start in a deregistration, in Unix milliseconds; 0 if absent."""
 
     @abstractmethod
     def read_heartbeat(self, target: str, body: bytes) -> TargetRecord:
-        """Return what a target says of itself.
+        """Decode a heartbeat.
+
+        Args:
+            target: name of the target, from the path.
+            body: the body of the heartbeat.
 
         Raises:
-            BadRequestError: the body can't be understood.
+            BadRequestError: the body is malformed or names another target than the path.
         """
 
     # JSON bodies.
 
-    def _post(
+    def _make_post(
         self, path: str, value: Mapping[str, object], target: str | None = None
     ) -> HttpRequest:
-        """Return a request of our own; ``target`` names the one that is meant."""
-        named: HeaderList = ()
+        """Return a request of our own, addressed to a target unless ``target`` is None."""
+        target_header: HeaderList = ()
         if target is not None:
-            named = ((self.headers.target.encode(), target.encode()),)
+            target_header = ((self.headers.target.encode(), target.encode()),)
         return HttpRequest(
             method="POST",
             target=path,
-            headers=(_HOST, _JSON, *named),
+            headers=(_HOST_HEADER, _JSON_CONTENT_TYPE, *target_header),
             body=json.dumps(value).encode(),
         )
 
     @staticmethod
-    def _accept(value: Mapping[str, object]) -> HttpResponse:
-        """Return an answer that says yes."""
-        return HttpResponse(status=200, headers=(_JSON,), body=json.dumps(value).encode())
+    def _render_ok(value: Mapping[str, object]) -> HttpResponse:
+        return HttpResponse(
+            status=200, headers=(_JSON_CONTENT_TYPE,), body=json.dumps(value).encode()
+        )
 
     @staticmethod
-    def _check_count(made: int, ordered: int) -> None:
-        """Refuse a reply that has fewer or more pieces than were ordered."""
-        if made != ordered:
-            raise BadRequestError(f"the reply has {made} pieces, not {ordered}")
+    def _check_count(received: int, expected: int) -> None:
+        """Reject a pool reply whose number of pieces is not that of its call."""
+        if received != expected:
+            raise BadRequestError(f"the pool reply has {received} pieces instead of {expected}")
 
     # Headers.
 
-    def _find(self, request: HttpRequest, field: str) -> str | None:
-        return request.find(self._lower[field])
+    def _find_header(self, request: HttpRequest, field: str) -> str | None:
+        return request.find(self._lower_names[field])
 
     def _read_deadline(self, request: HttpRequest) -> float | None:
-        value = self._find(request, "deadline_ms")
+        value = self._find_header(request, "deadline_ms")
         if value is None:
             return None
         try:
-            return min(_LONGEST_DEADLINE, max(0.0, float(value) / 1000))
+            return min(_MAX_DEADLINE_SECONDS, max(0.0, float(value) / 1000))
         except ValueError:
             raise BadRequestError(f"{self.headers.deadline_ms} is no number") from None
 
     def _read_tokens(self, request: HttpRequest) -> tuple[int, int]:
-        first, _, second = (self._find(request, "tokens") or "").partition(",")
-        return _read_count(first), _read_count(second)
+        prompt, _, output = (self._find_header(request, "tokens") or "").partition(",")
+        return _read_count(prompt), _read_count(output)
 
-    def _read_prefix(self, request: HttpRequest) -> tuple[PrefixPart, ...]:
-        value = self._find(request, "prefix") or ""
-        parts = [part.strip().partition(":") for part in value.split(",") if part.strip()]
+    def _read_prefix(self, request: HttpRequest) -> tuple[PrefixSegment, ...]:
+        value = self._find_header(request, "prefix") or ""
+        segments = [item.strip().partition(":") for item in value.split(",") if item.strip()]
         return tuple(
-            PrefixPart(identity=identity, tokens=_read_count(tokens))
-            for identity, _, tokens in parts
+            PrefixSegment(identity=identity, tokens=_read_count(tokens))
+            for identity, _, tokens in segments
         )
 
     def _read_pieces(self, request: HttpRequest) -> tuple[int, ...]:
-        value = self._find(request, "pieces") or ""
-        counts = [part.strip() for part in value.split(",") if part.strip()]
-        if any(not part.isdecimal() or int(part) > _MOST_PIECES for part in counts):
-            raise BadRequestError(f"{self.headers.pieces} must hold numbers up to {_MOST_PIECES}")
-        return tuple(int(part) for part in counts)
+        value = self._find_header(request, "pieces") or ""
+        counts = [item.strip() for item in value.split(",") if item.strip()]
+        if any(not count.isdecimal() or int(count) > _MAX_PIECES for count in counts):
+            raise BadRequestError(f"{self.headers.pieces} must hold numbers up to {_MAX_PIECES}")
+        return tuple(int(count) for count in counts)
 
 
 def _read_name(path: str, prefix: str) -> str:
-    """Return the name that follows a prefix in a path; empty if the path has another form."""
+    """Return the name after a prefix of a path, or an empty string if the path has another form."""
     name = path.removeprefix(prefix)
     return "" if name == path or "/" in name else unquote(name)
 
@@ -278,20 +282,21 @@
 
 
 def _read_count(text: str) -> int:
-    """Return a count; a hint that is no number is taken as none."""
+    """Return a count, or 0 for a malformed one: counts are hints and fail no request."""
     text = text.strip()
     return int(text) if text.isdecimal() else 0
 
 
 def _read_backoff(head: HttpHead) -> float:
-    """Return the seconds for which a target that turned a request away wants no other one."""
-    if head.status != _BUSY_STATUS:
+    """Return the seconds of back-off that an overloaded target requests."""
+    if head.status != _OVERLOADED_STATUS:
         return 0.0
     return read_retry_after(head.find(b"retry-after"), head.find(b"date"))
 
 
 def _read_load(text: str | None) -> LoadReport | None:
-    counts = [_read_count(part) for part in (text or "").split(",")]
+    """Return a load of the form "running,waiting,slots", or None for a malformed one."""
+    counts = [_read_count(item) for item in (text or "").split(",")]
     if len(counts) != 3 or counts[2] == 0:
         return None
     return LoadReport(held=counts[0] + counts[1], slots=counts[2])
--- a/packages/damsonlaned/src/damsonlaned/dialects/_interface.py
+++ b/packages/damsonlaned/src/damsonlaned/dialects/_interface.py
@@ -1,4 +1,4 @@
-"""The interface of a dialect, and the registry that a decorator fills."""
+"""The interface of a dialect and the registry of dialects."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable, Sequence
@@ -18,78 +18,86 @@
 
 
 class Dialect(ABC):
-    """Translates between HTTP and the types of this package; decides and remembers nothing."""
+    """Translates between HTTP and the types of this package; is stateless and applies no policy."""
 
     # Callers.
 
     @abstractmethod
     def read_caller(self, request: HttpRequest) -> CallerRequest:
-        """Return a caller's request.
+        """Decode a caller's request.
 
         Raises:
-            BadRequestError: it can't be understood.
+            BadRequestError: a header is missing or malformed.
         """
 
     @abstractmethod
     def render_refusal(self, refusal: Refusal, request_id: str) -> HttpResponse:
-        """Return an answer of our own; ``request_id`` may be empty."""
+        """Return an error response of our own; ``request_id`` may be empty."""
 
     @abstractmethod
     def is_ready_call(self, request: HttpRequest) -> bool:
-        """Tell whether a request asks if this entry takes requests."""
+        """Return whether a request is a readiness check of this entry."""
 
     # Targets.
 
     @abstractmethod
     def make_request(self, request: CallerRequest, attempt: Attempt) -> HttpRequest:
-        """Return what is sent to a target."""
+        """Return the request that is sent to a target for an attempt."""
 
     @abstractmethod
     def read_signs(self, head: HttpHead) -> AnswerSigns:
-        """Return what the head of a target's answer says."""
+        """Return the signals in the head of a target's response."""
 
     # Stage pools.
 
     @abstractmethod
     def make_pool_call(self, target: str, orders: Sequence[PieceOrder]) -> HttpRequest:
-        """Return the call that makes pieces."""
+        """Return the call that has a pool target compute pieces."""
 
     @abstractmethod
     def read_pool_reply(self, body: bytes, count: int) -> tuple[MadePiece, ...]:
-        """Return what became of each piece, in the order of the call.
+        """Return the result of each piece, in the order of the call.
+
+        Args:
+            body: the body of the reply.
+            count: pieces in the call.
 
         Raises:
-            BadRequestError: the body is no such reply.
+            BadRequestError: the reply is malformed or has another number of pieces.
         """
 
     @abstractmethod
     def make_free_call(self, handles: Sequence[str]) -> HttpRequest:
-        """Return the call that gives results up."""
+        """Return the call that has a pool target release results."""
 
     @abstractmethod
     def read_maker(self, handle: str) -> str:
-        """Return the address of the target that holds a result."""
+        """Return the address of the pool target that stores a result."""
 
-    # Control.
+    # Calls to control replicas.
 
     @abstractmethod
     def read_control_call(self, request: HttpRequest) -> ControlCall | None:
-        """Return a call to control, or None when there is no such call.
+        """Decode a call to a control replica; None if its path or method is unknown.
 
         Raises:
-            BadRequestError: it can't be understood.
+            BadRequestError: the body is malformed or names another target than the path.
         """
 
     @abstractmethod
     def render_heartbeat_reply(self, address: str) -> HttpResponse:
-        """Return the acknowledgement of a heartbeat; ``address`` takes the next ones."""
+        """Return the acknowledgement of a heartbeat.
+
+        Args:
+            address: where the target should send its next heartbeats, or an empty string.
+        """
 
     @abstractmethod
     def read_document(self, text: bytes) -> RoutingDocument:
-        """Return the routing document in a text, unchecked.
+        """Decode a routing document without checking its content.
 
         Raises:
-            SettingsError: it can't be read; carries all findings.
+            SettingsError: the text can't be decoded; carries all findings.
         """
 
 
@@ -100,8 +108,8 @@
 def dialect(name: str) -> Callable[[type[Dialect]], type[Dialect]]:
     """Register a dialect under the name that settings use."""
 
-    def register(kind: type[Dialect]) -> type[Dialect]:
-        DIALECTS[name] = kind()
-        return kind
+    def register(dialect_class: type[Dialect]) -> type[Dialect]:
+        DIALECTS[name] = dialect_class()
+        return dialect_class
 
     return register
--- a/packages/damsonlaned/src/damsonlaned/dialects/_names.py
+++ b/packages/damsonlaned/src/damsonlaned/dialects/_names.py
@@ -1,65 +1,65 @@
-"""Names of headers and paths, which differ between dialects."""
+"""Header names and paths, which differ between dialects."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, kw_only=True)
 class HeaderNames:
-    """Names of headers, as they are written."""
+    """Names of headers, in the case in which they are sent."""
 
-    #: Id of a request, given by the caller.
+    #: Id that the caller gave the request.
     request_id: str
-    #: Milliseconds that the receiver has.
+    #: Time left until the request's deadline, in milliseconds.
     deadline_ms: str
-    #: Key of the caller's organisation.
+    #: Key that authenticates the caller's organisation.
     key: str
-    #: Name of the caller's organisation, for targets.
+    #: Name of the caller's organisation; sent to targets.
     organisation: str
-    #: Name of the target that is meant.
+    #: Name of the target that the request is addressed to.
     target: str
-    #: Present when a target promises that it has not run the request.
+    #: Present when a target guarantees that it has not run the request.
     not_run: str
-    #: Present, and not 0, when a target says that it leaves.
+    #: Present, and not 0, while a target is draining.
     leaving: str
-    #: Requests a second that a target takes from all boxes together.
+    #: Rate limit that a target announces: requests per second from all boxes together.
     rate_limit: str
-    #: A target's requests at work, waiting, and slots.
+    #: Load of a target: requests running, requests waiting, slots.
     load: str
-    #: Urgency at the target.
+    #: Urgency of the request at the target.
     urgency: str
-    #: Shared parts of the prompt.
+    #: Segments of the prompt that other requests may share, each with its tokens.
     prefix: str
-    #: Tokens in and out.
+    #: Tokens of the prompt, and most tokens of the output.
     tokens: str
     #: Number of pieces of each stage.
     pieces: str
-    #: Key of the material for the stages.
+    #: Key of the input material of the first stages.
     material_key: str
     #: Handles of stage results.
     inputs: str
-    #: Id of the last event that the caller has.
+    #: Id of the last event that the caller received.
     last_event: str
-    #: Address of an engine that keeps more of the prompt.
+    #: Address of an engine that has more of the prompt in its prefix cache.
     source: str
-    #: What stands before the key in its header, with a blank; may be empty.
+    #: Prefix of the key in its header, with its trailing space; may be empty.
     key_scheme: str = ""
-    #: Further names that only we may set.
+    #: Further headers that are never forwarded from callers.
     reserved: tuple[str, ...] = ()
 
 
 @dataclass(frozen=True, kw_only=True)
 class PathNames:
-    """Paths of calls."""
+    """Paths of the calls that a dialect knows."""
 
-    #: Asks an entry whether it takes requests.
+    #: Readiness check of an entry.
     ready: str
-    #: Heartbeats and departures; the target's name follows.
+    #: Prefix of heartbeats and deregistrations; the target's name follows.
     targets: str
     #: The routing document.
     document: str
-    #: Evacuation of a data centre; its name follows.
+    #: Prefix of evacuations; the name of the data centre follows.
     evacuations: str
-    #: Makes pieces at a pool target.
-    make_pieces: str
-    #: Gives results up.
-    free_results: str
+    #: Has a pool target compute pieces.
+    compute_pieces: str
+    #: Has a pool target release results.
+    release_results: str
--- a/packages/damsonlaned/src/damsonlaned/dialects/_native.py
+++ b/packages/damsonlaned/src/damsonlaned/dialects/_native.py
@@ -1,4 +1,4 @@
-"""The product's own dialect."""
+"""The native dialect."""
 
 import json
 from collections.abc import Sequence
@@ -22,7 +22,7 @@
 @final
 @dialect("damsonlane")
 class NativeDialect(HeaderDialect):
-    """Headers that begin with ``Damsonlane-`` and bodies that are our own types as JSON."""
+    """Uses ``Damsonlane-`` headers and bodies that are the product's own types as JSON."""
 
     headers = HeaderNames(
         request_id="Damsonlane-Request-Id",
@@ -49,12 +49,12 @@
         targets="/v1/targets/",
         document="/v1/routes",
         evacuations="/v1/evacuations/",
-        make_pieces="/v1/pieces",
-        free_results="/v1/pieces/free",
+        compute_pieces="/v1/pieces",
+        release_results="/v1/pieces/free",
     )
 
     def make_pool_call(self, target: str, orders: Sequence[PieceOrder]) -> HttpRequest:
-        """Return the call that makes pieces."""
+        """Return the call that has a pool target compute pieces."""
         pieces = [
             {
                 "request": order.request,
@@ -66,27 +66,27 @@
             }
             for order in orders
         ]
-        return self._post(self.paths.make_pieces, {"pieces": pieces}, target)
+        return self._make_post(self.paths.compute_pieces, {"pieces": pieces}, target)
 
     def read_pool_reply(self, body: bytes, count: int) -> tuple[MadePiece, ...]:
-        """Return what became of each piece, in the order of the call."""
+        """Return the result of each piece, in the order of the call."""
         try:
             pieces = json.loads(body)["pieces"]
-            made = tuple(
+            results = tuple(
                 MadePiece(handle=piece.get("handle", ""), fault=piece.get("fault", ""))
                 for piece in pieces
             )
         except (ValueError, KeyError, TypeError, AttributeError):
-            raise BadRequestError("the reply holds no pieces") from None
-        self._check_count(len(made), count)
-        return made
+            raise BadRequestError("the pool reply is malformed") from None
+        self._check_count(len(results), count)
+        return results
 
     def make_free_call(self, handles: Sequence[str]) -> HttpRequest:
-        """Return the call that gives results up."""
-        return self._post(self.paths.free_results, {"handles": list(handles)})
+        """Return the call that has a pool target release results."""
+        return self._make_post(self.paths.release_results, {"handles": list(handles)})
 
     def read_heartbeat(self, target: str, body: bytes) -> TargetRecord:
-        """Return what a target says of itself."""
+        """Decode a heartbeat."""
         try:
             record = decode_bytes(body, TargetRecord)
         except ValidationError as error:
@@ -96,15 +96,15 @@
         return record
 
     def read_departure(self, body: bytes) -> int:
-        """Return the start of a target that leaves; its call has no body."""
+        """Return 0: deregistrations of this dialect have no body."""
         return 0
 
     def render_heartbeat_reply(self, address: str) -> HttpResponse:
         """Return the acknowledgement of a heartbeat."""
-        return self._accept({"next_address": address} if address else {})
+        return self._render_ok({"next_address": address} if address else {})
 
     def read_document(self, text: bytes) -> RoutingDocument:
-        """Return the routing document in a text, unchecked."""
+        """Decode a routing document without checking its content."""
         try:
             return decode_bytes(text, RoutingDocument)
         except ValidationError as error:
--- a/packages/damsonlaned/src/damsonlaned/dialects/_types.py
+++ b/packages/damsonlaned/src/damsonlaned/dialects/_types.py
@@ -1,4 +1,4 @@
-"""What a dialect translates between: typed requests, answers and control calls."""
+"""Typed requests, responses and control calls, to and from which dialects translate."""
 
 from dataclasses import dataclass
 from typing import Literal
@@ -10,14 +10,14 @@
 
 
 class BadRequestError(DamsonlaneError):
-    """A request that can't be understood; its text says why."""
+    """A request or reply is malformed; the message says how."""
 
 
 @dataclass(frozen=True, kw_only=True)
-class PrefixPart:
-    """A part of a prompt that other requests may share."""
+class PrefixSegment:
+    """A segment of a prompt that other requests may share."""
 
-    #: Identity of the part.
+    #: Identity of its content.
     identity: str
     #: Its length, in tokens.
     tokens: int
@@ -27,137 +27,137 @@
 class CallerRequest:
     """A caller's request."""
 
-    #: The request as it came.
+    #: The request as it was received.
     http: HttpRequest
-    #: Id that the caller gave it; answers carry it back.
+    #: Id that the caller gave it; responses carry it.
     request_id: str
-    #: Host that it names.
+    #: Its ``Host`` header, or an empty string.
     host: str
     #: Key of the caller's organisation, or an empty string.
     key: str
-    #: Seconds for which the caller waits, or None when it does not say.
+    #: Seconds until its deadline, or None if it has none.
     deadline_seconds: float | None = None
-    #: Parts of its prompt, in order.
-    prefix: tuple[PrefixPart, ...] = ()
-    #: Tokens of its prompt.
+    #: Shareable segments of its prompt, in order.
+    prefix: tuple[PrefixSegment, ...] = ()
+    #: Length of its prompt, in tokens.
     tokens_in: int = 0
-    #: Most tokens that it wants.
+    #: Most tokens that the caller wants in return.
     tokens_out: int = 0
     #: Number of pieces of each stage.
     pieces: tuple[int, ...] = ()
-    #: Key of its material for the stages, or an empty string.
+    #: Key of the input material of its first stages, or an empty string.
     material_key: str = ""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Attempt:
-    """One sending of a request to a target."""
+    """One call to one target for one request."""
 
-    #: Name of the target that is meant.
+    #: Name of the target.
     target: str
-    #: Seconds that the target has.
+    #: Seconds until the deadline.
     remaining_seconds: float
-    #: Organisation of the caller, or an empty string.
+    #: Name of the caller's organisation, or an empty string.
     organisation: str
     #: Urgency at the target, 0 (first) to 9, or None.
     urgency: int | None = None
     #: Handles of the stage results that it needs.
     inputs: tuple[str, ...] = ()
-    #: Id of the last event that the caller has, where an event stream is taken up.
+    #: Id of the last event that the caller received, where an event stream is resumed; else None.
     last_event: str | None = None
-    #: Address of an engine from which the target should take what it keeps of the prompt,
-    #: or an empty string.
+    #: Address of an engine from which the target should copy cached prompt segments, or an empty
+    #: string.
     source: str = ""
 
 
 @dataclass(frozen=True, kw_only=True)
 class AnswerSigns:
-    """What the head of a target's answer says besides its status."""
+    """What the head of a target's response says besides its status."""
 
-    #: Id of the request that it answers, or None.
+    #: Id of the request that the response belongs to, or None.
     request_id: str | None
-    #: Whether the target promises that the request has not run.
+    #: Whether the target guarantees that the request has not run.
     has_not_run: bool
-    #: Its load, or None.
+    #: Load of the target, or None if it reports none.
     load: LoadReport | None
-    #: Whether it is an event stream.
+    #: Whether the body is an event stream.
     is_stream: bool
-    #: Seconds for which the target wants nothing from this box.
+    #: Seconds of back-off that the target requests from this box.
     backoff_seconds: float = 0.0
-    #: Whether the target says that it leaves.
+    #: Whether the target announces that it is draining.
     is_leaving: bool = False
-    #: Requests a second that the target takes from all boxes together; None where it names no
-    #: limit.
+    #: Rate limit that the target announces, in requests per second from all boxes together; None
+    #: if it announces none.
     rate_limit: float | None = None
 
     def says_what_it_takes(self) -> bool:
-        """Tell whether the target turned the request away by what it says that it takes."""
+        """Return whether the target rejected the request by a back-off or rate limit of its own."""
         return self.backoff_seconds > 0 or (self.has_not_run and self.rate_limit is not None)
 
 
 @dataclass(frozen=True, kw_only=True)
 class Refusal:
-    """An answer of our own that is not what the caller wanted."""
+    """An error response of our own."""
 
-    #: The status.
+    #: HTTP status.
     status: int
-    #: What went wrong, for a person.
+    #: What went wrong, in words.
     detail: str
-    #: Whether the request may have run; a refusal that says no is a promise.
+    #: Whether the request may have run; False guarantees that it has not.
     may_have_run: bool = False
-    #: Seconds after which the caller should come back, or None.
+    #: Seconds after which the caller may retry, or None.
     retry_after_seconds: float | None = None
 
 
 @dataclass(frozen=True, kw_only=True)
 class MadePiece:
-    """What a target says of one piece."""
+    """The result of one piece, as its pool target reports it."""
 
-    #: Handle of its result, or an empty string.
+    #: Handle of the stored result, or an empty string.
     handle: str = ""
-    #: Why there is none.
+    #: Why there is no result.
     fault: Literal["", "late", "lost-input", "no-room", "error"] = ""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Heartbeat:
-    """A target says that it is there."""
+    """A heartbeat of a target."""
 
-    #: What it says of itself.
+    #: The state that the target reports.
     record: TargetRecord
 
 
 @dataclass(frozen=True, kw_only=True)
 class Departure:
-    """A target says that it is gone."""
+    """A target deregisters: it has shut down."""
 
     #: Its name.
     target: str
-    #: Its start, in Unix milliseconds; 0 where it does not say.
+    #: Start time of its incarnation, in Unix milliseconds; 0 if unknown.
     start: int = 0
 
 
 @dataclass(frozen=True, kw_only=True)
 class Evacuate:
-    """An operator wants nothing new sent to the targets of a data centre."""
+    """An operator wants no new requests sent to the targets of a data centre."""
 
-    #: The data centre.
+    #: Name of the data centre.
     data_centre: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class Restore:
-    """An operator wants the targets of a data centre used again."""
+    """An operator ends the evacuation of a data centre."""
 
-    #: The data centre.
+    #: Name of the data centre.
     data_centre: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class PutDocument:
-    """An operator sends a routing document."""
+    """An operator submits a routing document."""
 
-    #: The text as it was sent.
+    #: The text as it was received.
     text: bytes
 
 
