--- a/tools/fuzz.py
+++ b/tools/fuzz.py
@@ -1,7 +1,7 @@
-"""Runs the stateful machines for a given time with a printed seed.
+"""Run Hypothesis' stateful tests for a given time and print the seed.
 
-With ``--fault NAME`` a planted fault is searched for instead, and the number
-of examples that it took is printed.
+With ``--fault NAME`` a fault is injected and searched for instead, and the
+number of examples until it is found is printed.
 """
 
 import argparse
@@ -16,25 +16,32 @@
 from damsonlane.requests.tests import machine as request_machine
 from damsonlane.requests.tests import world
 
-#: Examples of one round.
-ROUND = 500
+#: Examples of one machine before the next one runs.
+EXAMPLES_PER_ROUND = 500
 
 
-def search(shape: Any, number: int, examples: int, *, shrinks: bool) -> int:
-    """Run a machine and return how many examples it took.
+def search(machine_class: Any, number: int, examples: int, *, shrinks: bool) -> int:
+    """Run a state machine and return the number of examples that ran.
+
+    Args:
+        machine_class: class of the state machine.
+        number: seed of the examples.
+        examples: most examples to run.
+        shrinks: whether a failing example is shrunk and raised; else the first one ends the
+            search.
 
     Raises:
-        AssertionError: a promise was broken.
+        AssertionError: a guarantee is violated, and ``shrinks`` is set.
     """
     count = 0
 
-    class Counted(shape):  # type: ignore[misc]
+    class CountingMachine(machine_class):  # type: ignore[misc]
         def __init__(self) -> None:
             nonlocal count
             count += 1
             super().__init__()
 
-    chosen = settings(
+    run_settings = settings(
         max_examples=examples,
         stateful_step_count=50,
         deadline=None,
@@ -43,7 +50,7 @@
         phases=[Phase.generate, Phase.shrink] if shrinks else [Phase.generate],
     )
     try:
-        run_state_machine_as_test(seed(number)(Counted), settings=chosen)
+        run_state_machine_as_test(seed(number)(CountingMachine), settings=run_settings)
     except AssertionError as error:
         if not shrinks:
             print(f"found after {count} examples: {error}")
@@ -53,7 +60,7 @@
 
 
 def main() -> None:
-    """Run the command."""
+    """Run the fuzzer until its time has passed or it finds a violation."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=60.0)
     parser.add_argument("--seed", type=int, default=random.SystemRandom().randrange(2**32))
@@ -62,18 +69,19 @@
     options = parser.parse_args()
     print(f"seed {options.seed}")
     if options.fault:
-        search(_plant(options.fault), options.seed, options.examples, shrinks=False)
+        search(_inject(options.fault), options.seed, options.examples, shrinks=False)
         return
-    due = time.monotonic() + options.seconds
+    deadline = time.monotonic() + options.seconds
     number, total = options.seed, 0
-    while time.monotonic() < due:
-        for shape in (machine.GroupMachine, request_machine.RequestMachine):
-            total += search(shape, number, ROUND, shrinks=True)
+    while time.monotonic() < deadline:
+        for machine_class in (machine.GroupMachine, request_machine.RequestMachine):
+            total += search(machine_class, number, EXAMPLES_PER_ROUND, shrinks=True)
         number += 1
     print(f"{total} examples, nothing found")
 
 
-def _plant(name: str) -> Any:
+def _inject(name: str) -> Any:
+    """Return the class of a state machine with a fault of the given name."""
     if name in group.Fault.__members__:
         return machine.make_machine(group.Fault[name])
     return request_machine.make_machine(world.Fault[name])
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -1,8 +1,8 @@
-"""Runs every test of the workspace and gives one verdict.
+"""Run all tests of the workspace.
 
-Test modules run side by side, each in a process of its own.  Tests listed in
-KNOWN-RED.txt may fail; they are printed, and one that passes again must be
-taken off the list, unless its entry says that it fails now and then.
+Test modules run in parallel, each in a process of its own.  Tests listed in
+KNOWN-RED.txt may fail; they are printed.  One that passes again fails the run
+until it is taken off the list, unless its entry marks it as flaky.
 """
 
 import argparse
@@ -19,37 +19,37 @@
 
 ROOT: Final = Path(__file__).resolve().parent.parent
 KNOWN_RED: Final = ROOT / "KNOWN-RED.txt"
-#: What the entry of a test says that does not fail each time.
-NOW_AND_THEN: Final = "now and then"
-#: Most lines that the list of known failures may have.
-MOST_KNOWN: Final = 3
-#: Test modules that run side by side; many of them start processes of their own.
-USUAL_JOBS: Final = 4
+#: Marks the entry of a flaky test in the list of known failures.
+FLAKY_MARKER: Final = "now and then"
+#: Most entries that the list of known failures may have.
+MAX_KNOWN_FAILURES: Final = 3
+#: Test modules that run in parallel; many of them start processes of their own.
+DEFAULT_JOBS: Final = 4
 
 
 @dataclass(frozen=True, kw_only=True)
-class Verdict:
-    """How the tests of one module ended."""
+class ModuleResult:
+    """Result of the tests of one module."""
 
     #: Name of the module.
     module: str
-    #: Tests that ran.
+    #: Number of tests that ran.
     ran: int
-    #: Names of those that failed.
+    #: Names of the tests that failed.
     failed: tuple[str, ...]
-    #: What the runner printed.
+    #: Output of the test runner.
     report: str
-    #: How long it took, in seconds.
+    #: Duration, in seconds.
     seconds: float
 
 
 def read_known_red() -> dict[str, str]:
-    """Return the tests that are known to fail, each with its line."""
+    """Return the known failures: each test with its entry."""
     if not KNOWN_RED.exists():
         return {}
     lines = [line for line in KNOWN_RED.read_text().splitlines() if line.strip()]
-    if len(lines) > MOST_KNOWN:
-        sys.exit(f"KNOWN-RED.txt has {len(lines)} lines; {MOST_KNOWN} are allowed")
+    if len(lines) > MAX_KNOWN_FAILURES:
+        sys.exit(f"KNOWN-RED.txt has {len(lines)} lines; {MAX_KNOWN_FAILURES} are allowed")
     return {line.split(",")[0].strip(): line for line in lines}
 
 
@@ -72,59 +72,61 @@
             yield item
 
 
-def run_module(module: str, pattern: str) -> Verdict:
+def run_module(module: str, pattern: str) -> ModuleResult:
     """Run the tests of a module whose names contain ``pattern``."""
-    began_at = time.monotonic()
+    started_at = time.monotonic()
     loaded = unittest.defaultTestLoader.loadTestsFromName(module)
     suite = unittest.TestSuite(test for test in collect(loaded) if pattern in test.id())
     output = io.StringIO()
     result = unittest.TextTestRunner(stream=output, verbosity=2).run(suite)
     failed = tuple(test.id() for test, _ in (*result.failures, *result.errors))
     failed += tuple(test.id() for test in result.unexpectedSuccesses)
-    return Verdict(
+    return ModuleResult(
         module=module,
         ran=result.testsRun,
         failed=failed,
         report=output.getvalue() if result.testsRun or failed else "",
-        seconds=time.monotonic() - began_at,
+        seconds=time.monotonic() - started_at,
     )
 
 
-def run_all(pattern: str, jobs: int) -> list[Verdict]:
-    """Run all modules side by side and print each report as it comes."""
+def run_all(pattern: str, jobs: int) -> list[ModuleResult]:
+    """Run all modules in parallel and print the report of each one that has finished."""
     context = multiprocessing.get_context("spawn")
-    verdicts: list[Verdict] = []
+    results: list[ModuleResult] = []
     with ProcessPoolExecutor(jobs, mp_context=context, max_tasks_per_child=1) as pool:
         futures = [pool.submit(run_module, module, pattern) for module in list_modules()]
         for future in as_completed(futures):
-            verdict = future.result()
-            verdicts.append(verdict)
-            if verdict.report:
-                print(f"== {verdict.module} ({verdict.seconds:.1f} s)\n{verdict.report}")
-    return verdicts
+            result = future.result()
+            results.append(result)
+            if result.report:
+                print(f"== {result.module} ({result.seconds:.1f} s)\n{result.report}")
+    return results
 
 
 def main() -> int:
     """Run the tests and return the exit code."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("pattern", nargs="?", default="", help="run only tests with this in name")
-    parser.add_argument("--jobs", type=int, default=USUAL_JOBS, help="modules side by side")
+    parser.add_argument(
+        "pattern", nargs="?", default="", help="run only tests whose names contain this"
+    )
+    parser.add_argument("--jobs", type=int, default=DEFAULT_JOBS, help="modules run in parallel")
     arguments = parser.parse_args()
-    verdicts = run_all(arguments.pattern, arguments.jobs)
+    results = run_all(arguments.pattern, arguments.jobs)
     known = read_known_red()
-    ran = sum(verdict.ran for verdict in verdicts)
-    failed = [name for verdict in verdicts for name in verdict.failed]
+    ran = sum(result.ran for result in results)
+    failed = [name for result in results for name in result.failed]
     unexpected = [name for name in failed if name not in known]
-    steady = [name for name, line in known.items() if NOW_AND_THEN not in line]
-    mended = [name for name in steady if name not in failed and not arguments.pattern]
+    not_flaky = [name for name, line in known.items() if FLAKY_MARKER not in line]
+    fixed = [name for name in not_flaky if name not in failed and not arguments.pattern]
     for name in failed:
         print(f"known to fail: {known[name]}" if name in known else f"FAILED: {name}")
-    for name in known.keys() - set(failed) - set(steady):
+    for name in known.keys() - set(failed) - set(not_flaky):
         print(f"known to fail now and then, passed: {known[name]}")
-    for name in mended:
+    for name in fixed:
         print(f"passes again, take it off KNOWN-RED.txt: {name}")
     print(f"{ran - len(failed)} passed, {len(failed)} failed")
-    return 1 if unexpected or mended or ran == 0 else 0
+    return 1 if unexpected or fixed or ran == 0 else 0
 
 
 if __name__ == "__main__":
