--- a/packages/damsonlane_bench/src/damsonlane_bench/fleet/_certificates.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/fleet/_certificates.py
@@ -1,4 +1,4 @@
-"""Keys for tests and the demonstration, made by a library."""
+"""TLS certificates and keys for tests and the demonstration."""
 
 from pathlib import Path
 
@@ -8,7 +8,11 @@
 
 
 class KeyMaker:
-    """An authority that signs boxes; its files live in one folder."""
+    """A certificate authority for boxes and operators.
+
+    Args:
+        folder: for its certificate and the files that it issues.
+    """
 
     def __init__(self, folder: Path) -> None:
         folder.mkdir(parents=True, exist_ok=True)
@@ -17,12 +21,12 @@
         self._authority.cert_pem.write_to_path(str(folder / "authority.pem"))
 
     def sign(self, name: str) -> TlsFiles:
-        """Make a key for a box or operator and return its files."""
-        signed = self._authority.issue_cert(f"{name}.box.damsonlane.internal")
+        """Issue a certificate and key to a box or operator and return their files."""
+        issued = self._authority.issue_cert(f"{name}.box.damsonlane.internal")
         certificate = self._folder / f"{name}.pem"
         key = self._folder / f"{name}.key"
-        signed.cert_chain_pems[0].write_to_path(str(certificate))
-        signed.private_key_pem.write_to_path(str(key))
+        issued.cert_chain_pems[0].write_to_path(str(certificate))
+        issued.private_key_pem.write_to_path(str(key))
         return TlsFiles(
             certificate=str(certificate),
             key=str(key),
--- a/packages/damsonlane_bench/src/damsonlane_bench/fleet/_fleet.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/fleet/_fleet.py
@@ -1,4 +1,4 @@
-"""A whole system on one machine: control, entries and stand-ins as processes."""
+"""A whole system on one machine: control replicas, entries and stand-ins, each in a process."""
 
 import contextlib
 import dataclasses
@@ -20,8 +20,7 @@
 from damsonlane_bench.fleet._processes import Process, find_program
 from damsonlane_bench.fleet._waiting import StuckError, wait_until
 
-#: Seconds that a command may take.
-_COMMAND_SECONDS: Final = 60.0
+_COMMAND_TIMEOUT_SECONDS: Final = 60.0
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -30,11 +29,13 @@
 
     #: Its name.
     name: str
-    #: Its role.
+    #: ``control`` or ``entry``.
     role: str
-    #: Its addresses.
+    #: Address for calls from other boxes and operators.
     internal_address: str
+    #: Address of its health checks and metrics.
     admin_address: str
+    #: Address for callers; empty for control boxes.
     caller_address: str
     #: File with its settings.
     settings_file: Path
@@ -44,7 +45,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CommandResult:
-    """What the operator's command said."""
+    """Result of a run of the operator's command."""
 
     #: Exit code.
     code: int
@@ -55,14 +56,14 @@
 
 
 class Fleet:
-    """Processes in one folder; use as a context manager, so that all are ended.
+    """A fleet whose files are in one folder; a context manager that stops all its processes.
 
     Args:
-        folder: holds settings, data folders and logs.
-        controls: control boxes.
-        entries: entry boxes.
-        data_centres: names, given to the boxes in turn.
-        with_tls: whether calls between boxes are secured.
+        folder: for settings, data folders and logs.
+        controls: number of control boxes.
+        entries: number of entry boxes.
+        data_centres: names of data centres, assigned to the boxes in turn.
+        with_tls: whether calls between boxes use TLS.
         election_seconds: shortest time without a leader before an election.
         box_settings: further settings of every box.
     """
@@ -90,7 +91,7 @@
         names = [f"control-{number + 1}" for number in range(controls)]
         names += [f"entry-{number + 1}" for number in range(entries)]
         for number, name in enumerate(names):
-            self._plan_box(name, data_centres[number % len(data_centres)])
+            self._define_box(name, data_centres[number % len(data_centres)])
         self._write_files()
 
     def __enter__(self) -> "Fleet":
@@ -110,8 +111,8 @@
         return [box for box in self.boxes.values() if box.role == "entry"]
 
     def add_control(self, name: str) -> Box:
-        """Plan one more control box; start it with `start`."""
-        self._plan_box(name, self._data_centres[0])
+        """Define one more control box, which `start` then starts."""
+        self._define_box(name, self._data_centres[0])
         self._write_files()
         return self.boxes[name]
 
@@ -124,7 +125,7 @@
         return process
 
     def start_control_group(self) -> None:
-        """Start all control boxes and make them one group."""
+        """Start all control boxes and form a group of them."""
         first, *others = self.controls()
         for box in (first, *others):
             self.start(box.name)
@@ -142,37 +143,42 @@
             self.wait_ready(box)
 
     def wait_listening(self, box: Box) -> None:
-        """Wait until a box answers on its admin address."""
+        """Wait until a box responds at its admin address."""
         url = f"http://{box.admin_address}/livez"
         self._wait_for_box(box, url, f"{box.name} listens")
 
     def wait_ready(self, box: Box) -> None:
-        """Wait until a box says that it is ready."""
+        """Wait until a box reports that it is ready."""
         url = f"http://{box.admin_address}/readyz"
         self._wait_for_box(box, url, f"{box.name} is ready")
 
     def _wait_for_box(self, box: Box, url: str, what: str) -> None:
-        """Wait until a box answers well; show the end of its log if it does not.
+        """Wait until a box responds with status 200.
 
         Raises:
-            StuckError: its process ended, or it did not answer in time.
+            StuckError: its process exited, or it did not respond in time; with the tail of its log.
         """
         process = self.processes[box.name]
         try:
-            wait_until(lambda: not process.is_running() or _answers(url), what)
+            wait_until(lambda: not process.is_running() or _is_ok(url), what)
         except StuckError as error:
             raise StuckError(f"{error}; its log ends: {process.read_log_end()}") from None
         if not process.is_running():
             raise StuckError(f"{box.name} ended; its log ends: {process.read_log_end()}")
 
     def wipe(self, name: str) -> None:
-        """Empty the data folder of a box that does not run."""
+        """Delete the data folder of a box that is not running."""
         shutil.rmtree(self.boxes[name].data_folder)
 
     # Stand-ins.
 
     def start_standin(self, name: str, **behaviour: object) -> str:
-        """Start a stand-in, or start it again, and return its address."""
+        """Start or restart a stand-in and return its address.
+
+        Args:
+            name: its name, also of its log.
+            behaviour: fields of `damsonlane_bench.standin.Behaviour`.
+        """
         address = self.standins.get(name) or take_address()
         command = [sys.executable, "-m", "damsonlane_bench.standin", f"--address={address}"]
         command += [f"--{field}={value}" for field, value in behaviour.items()]
@@ -181,18 +187,16 @@
         return address
 
     def wait_standins(self) -> None:
-        """Wait until all stand-ins answer."""
+        """Wait until all stand-ins respond."""
         for name, address in self.standins.items():
-            wait_until(
-                functools.partial(_answers, f"http://{address}/executions"), f"{name} listens"
-            )
+            wait_until(functools.partial(_is_ok, f"http://{address}/executions"), f"{name} listens")
 
     def change_behaviour(self, name: str, **behaviour: object) -> None:
-        """Change how a stand-in behaves."""
+        """Change fields of a stand-in's behaviour."""
         send("POST", f"http://{self.standins[name]}/behaviour", behaviour)
 
     def read_executions(self, name: str) -> list[dict[str, Any]]:
-        """Return what a stand-in really ran."""
+        """Return the executions that a stand-in counted."""
         return list(send("GET", f"http://{self.standins[name]}/executions").body["executions"])
 
     # Operators and callers.
@@ -200,25 +204,27 @@
     def command(self, *arguments: str) -> CommandResult:
         """Run the operator's command."""
         environment = {**os.environ, "DAMSONLANE_SETTINGS": str(self.folder / "operator.json")}
-        done = subprocess.run(
+        completed = subprocess.run(
             [find_program("damsonlane"), *arguments],
             env=environment,
             capture_output=True,
             text=True,
-            timeout=_COMMAND_SECONDS,
+            timeout=_COMMAND_TIMEOUT_SECONDS,
             check=False,
         )
-        return CommandResult(code=done.returncode, output=done.stdout, errors=done.stderr)
+        return CommandResult(
+            code=completed.returncode, output=completed.stdout, errors=completed.stderr
+        )
 
     def require(self, *arguments: str) -> str:
-        """Run the operator's command, which must succeed, and return what it printed."""
+        """Run the operator's command, which must succeed, and return its output."""
         result = self.command(*arguments)
         if result.code != 0:
             raise AssertionError(f"damsonlane {' '.join(arguments)}: {result}")
         return result.output
 
     def apply_tree(self, tree: Mapping[str, Any]) -> None:
-        """Put a settings tree in force."""
+        """Apply a settings tree."""
         path = self.folder / "tree.json"
         path.write_text(json.dumps(tree, indent=2), encoding="utf-8")
         self.require("settings", "apply", str(path))
@@ -232,7 +238,7 @@
         token: str,
         headers: Mapping[str, str] | None = None,
     ) -> Response:
-        """Send a request through an entry."""
+        """Send a request to an entry as a caller."""
         address = self.boxes[entry].caller_address
         return send(
             "POST",
@@ -241,18 +247,18 @@
             {"Authorization": f"Bearer {token}", **(headers or {})},
         )
 
-    # Ends.
+    # Stopping.
 
     def kill(self, name: str) -> None:
-        """End a process at once."""
+        """Kill a process."""
         self.processes.pop(name).kill()
 
     def stop(self, name: str) -> int:
-        """Stop a process cleanly and return its exit code."""
+        """Stop a process gracefully and return its exit code."""
         return self.processes.pop(name).stop()
 
     def stop_all(self) -> None:
-        """End everything that was started, entries first."""
+        """Stop all processes, entries first."""
         order = sorted(self.processes, key=lambda name: not name.startswith("entry"))
         for name in order:
             with contextlib.suppress(ProcessLookupError):
@@ -261,7 +267,7 @@
 
     # Files.
 
-    def _plan_box(self, name: str, data_centre: str) -> None:
+    def _define_box(self, name: str, data_centre: str) -> None:
         role = name.partition("-")[0]
         box = Box(
             name=name,
@@ -278,14 +284,14 @@
     def _write_files(self) -> None:
         control = [box.internal_address for box in self.controls()]
         for box in self.boxes.values():
-            box.settings_file.write_text(json.dumps(self._describe(box, control), indent=2))
+            box.settings_file.write_text(json.dumps(self._make_settings(box, control), indent=2))
         operator: dict[str, Any] = {"control": control}
         if self._keys:
             operator["tls"] = dataclasses.asdict(self._sign("operator"))
         (self.folder / "operator.json").write_text(json.dumps(operator, indent=2))
 
-    def _describe(self, box: Box, control: Sequence[str]) -> dict[str, Any]:
-        described: dict[str, Any] = {
+    def _make_settings(self, box: Box, control: Sequence[str]) -> dict[str, Any]:
+        settings: dict[str, Any] = {
             "name": box.name,
             "data_centre": self._centres[box.name],
             "role": box.role,
@@ -297,17 +303,17 @@
             **self._box_settings,
         }
         if box.role == "entry":
-            described["caller_address"] = box.caller_address
+            settings["caller_address"] = box.caller_address
             others = [other for other in self.entries() if other.name != box.name]
-            described["peers"] = [other.internal_address for other in others]
+            settings["peers"] = [other.internal_address for other in others]
         if self._keys:
-            described["tls"] = dataclasses.asdict(self._sign(box.name))
-        return described
+            settings["tls"] = dataclasses.asdict(self._sign(box.name))
+        return settings
 
     def _sign(self, name: str) -> TlsFiles:
         assert self._keys is not None
         return self._keys.sign(name)
 
 
-def _answers(url: str) -> bool:
+def _is_ok(url: str) -> bool:
     return send("GET", url).status == 200
--- a/packages/damsonlane_bench/src/damsonlane_bench/fleet/_http.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/fleet/_http.py
@@ -1,4 +1,4 @@
-"""A small caller for tests and the demonstration."""
+"""A minimal HTTP client for tests and the demonstration."""
 
 import json
 from collections.abc import Mapping
@@ -7,28 +7,27 @@
 
 import urllib3
 
-#: Seconds after which a caller gives up.
-_SECONDS: Final = 60.0
+_TIMEOUT_SECONDS: Final = 60.0
 
 _POOL: Final = urllib3.PoolManager(num_pools=200, maxsize=200, retries=False)
 
 
 @dataclass(frozen=True, kw_only=True)
 class Response:
-    """What came back."""
+    """An HTTP response."""
 
     #: HTTP status; 0 when there was no response.
     status: int
-    #: The body, parsed where it is JSON, else as text.
+    #: The body: decoded if it is JSON, else text.
     body: Any = None
-    #: Headers, names in lower case.
+    #: Headers, by name in lower case.
     headers: Mapping[str, str] = field(default_factory=dict)
 
 
 def send(
     method: str, url: str, body: object = None, headers: Mapping[str, str] | None = None
 ) -> Response:
-    """Send one request, never again by itself; a broken connection has status 0."""
+    """Send one request without retries; status 0 means that no response was received."""
     data = body if isinstance(body, bytes) else json.dumps(body).encode()
     try:
         raw = _POOL.request(
@@ -36,7 +35,7 @@
             url,
             body=data if method == "POST" else None,
             headers=dict(headers or {}),
-            timeout=_SECONDS,
+            timeout=_TIMEOUT_SECONDS,
             retries=False,
         )
     except urllib3.exceptions.HTTPError:
--- a/packages/damsonlane_bench/src/damsonlane_bench/fleet/_ports.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/fleet/_ports.py
@@ -1,22 +1,21 @@
-"""Free ports for the processes of one test, which no other test is given meanwhile."""
+"""Allocation of free ports to the processes of a test, without clashes with other tests."""
 
 import random
 import socket
 from typing import Final
 
-#: Below the range from which the system takes ports for outgoing connections.
+#: Below the ephemeral port range, which the system uses for outgoing connections.
 _FIRST: Final = 20_000
 _LAST: Final = 32_000
 _HOST: Final = "127.0.0.1"
 
-#: A datagram socket on each port that was handed out, held until this process ends.  Two
-#: processes can't hold one port, and the box that listens there for connections does not
-#: mind.  Without it tests side by side were given the same port before either had used it.
-_held: Final[dict[int, socket.socket]] = {}
+#: UDP sockets bound to the allocated ports, open until this process exits.  They keep tests that
+#: run in parallel from allocating the same port before it is used, and leave the TCP port free.
+_reservations: Final[dict[int, socket.socket]] = {}
 
 
 def take_address() -> str:
-    """Return a loopback address that nothing listens on and that nobody else was given."""
+    """Return a loopback address with a free port, and reserve the port for this process."""
     while True:
         port = random.SystemRandom().randint(_FIRST, _LAST)
         if _is_free(port) and reserve_port(port):
@@ -24,14 +23,14 @@
 
 
 def reserve_port(port: int) -> bool:
-    """Reserve a port for this process; tell whether nobody has it."""
-    holder = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    """Reserve a port for this process; return whether it was not reserved yet."""
+    reservation = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     try:
-        holder.bind((_HOST, port))
+        reservation.bind((_HOST, port))
     except OSError:
-        holder.close()
+        reservation.close()
         return False
-    _held[port] = holder
+    _reservations[port] = reservation
     return True
 
 
--- a/packages/damsonlane_bench/src/damsonlane_bench/fleet/_waiting.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/fleet/_waiting.py
@@ -1,26 +1,33 @@
-"""Waiting for conditions, never for a fixed time."""
+"""Waiting until a condition holds."""
 
 import time
 from collections.abc import Callable
 from typing import Final
 
-#: Longest wait before a test is called stuck, in seconds.
-PATIENCE: Final = 60.0
-_PAUSE: Final = 0.02
+#: Longest wait for a condition, in seconds.
+DEFAULT_TIMEOUT_SECONDS: Final = 60.0
+_POLL_SECONDS: Final = 0.02
 
 
 class StuckError(AssertionError):
-    """A condition did not come true."""
+    """A condition did not hold within its timeout."""
 
 
-def wait_until(condition: Callable[[], bool], what: str, seconds: float = PATIENCE) -> None:
+def wait_until(
+    condition: Callable[[], bool], what: str, seconds: float = DEFAULT_TIMEOUT_SECONDS
+) -> None:
     """Wait until a condition holds.
 
+    Args:
+        condition: returns whether it holds; it is polled.
+        what: the condition in words, for the error message.
+        seconds: timeout.
+
     Raises:
-        StuckError: it did not within ``seconds``.
+        StuckError: the condition did not hold within the timeout.
     """
-    due = time.monotonic() + seconds
+    deadline = time.monotonic() + seconds
     while not condition():
-        if time.monotonic() >= due:
+        if time.monotonic() >= deadline:
             raise StuckError(f"waited {seconds} s in vain until {what}")
-        time.sleep(_PAUSE)
+        time.sleep(_POLL_SECONDS)
