--- a/packages/damsonlane_bench/src/damsonlane_bench/load/__init__.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/load/__init__.py
@@ -1,4 +1,4 @@
-"""The open-loop load tool: waves of mixed requests with a fixed start."""
+"""Open-loop load generator: a planned mix of requests, with a peak that begins at a fixed time."""
 
 from damsonlane_bench.load._plan import Arrival, RequestClass, Wave, plan_arrivals
 from damsonlane_bench.load._sender import Outcome, send_arrivals
--- a/packages/damsonlane_bench/src/damsonlane_bench/load/_plan.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/load/_plan.py
@@ -1,4 +1,4 @@
-"""What the load tool sends: classes of requests and a rate with a step."""
+"""Plan of the load: classes of requests, and arrivals at a rate with a peak."""
 
 import random
 from collections.abc import Sequence
@@ -13,64 +13,65 @@
     name: str
     #: Share of all requests.
     share: float
-    #: Organisation's token.
+    #: Token of the organisation that sends them.
     token: str
-    #: Pipeline asked for.
+    #: Pipeline that they are sent to.
     pipeline: str
-    #: Length of the text, in characters.
+    #: Length of the input, in characters.
     length: int
-    #: Milliseconds that the caller gives it.
+    #: Deadline, in milliseconds.
     deadline_ms: int
-    #: Whether it must run at most once.
+    #: Whether they must run at most once.
     is_marked: bool = False
 
 
 @dataclass(frozen=True, kw_only=True)
 class Wave:
-    """Rates over time: calm, then a step at the fixed start, then calm again."""
+    """Request rate over time: the base rate, then the peak rate, then the base rate again."""
 
-    #: Requests a second before and after.
+    #: Requests per second before and after the peak.
     calm_rate: float
-    #: Requests a second in the wave.
+    #: Requests per second in the peak.
     wave_rate: float
-    #: Seconds of calm before.
+    #: Seconds before the peak.
     before: float
-    #: Seconds of the wave.
+    #: Seconds of the peak.
     during: float
-    #: Seconds of calm after.
+    #: Seconds after the peak.
     after: float
 
     def rate_at(self, seconds: float) -> float:
-        """Return the rate at a moment."""
-        in_wave = self.before <= seconds < self.before + self.during
-        return self.wave_rate if in_wave else self.calm_rate
+        """Return the requests per second at a time since the start."""
+        is_peak = self.before <= seconds < self.before + self.during
+        return self.wave_rate if is_peak else self.calm_rate
 
     def length(self) -> float:
-        """Return the length of all three parts, in seconds."""
+        """Return the duration of all three phases, in seconds."""
         return self.before + self.during + self.after
 
 
 @dataclass(frozen=True, kw_only=True)
 class Arrival:
-    """One request to be sent at a moment."""
+    """One planned request."""
 
-    #: Seconds from the start.
+    #: When it is sent, in seconds since the start.
     at: float
     #: Its class.
     request_class: RequestClass
-    #: Its number.
+    #: Its number, from 0 in order of time.
     number: int
 
 
 def plan_arrivals(wave: Wave, classes: Sequence[RequestClass], seed: int) -> tuple[Arrival, ...]:
-    """Return Poisson arrivals with the wave's rates; the same seed gives the same ones."""
+    """Return the arrivals of a Poisson process with the rates of a wave, drawn with a seed."""
     randomness = random.Random(seed)
     highest = max(wave.calm_rate, wave.wave_rate)
     shares = [request_class.share for request_class in classes]
     arrivals: list[Arrival] = []
     at = 0.0
     while (at := at + randomness.expovariate(highest)) < wave.length():
-        # Thinning: a candidate at the highest rate is kept with the share of the moment's rate.
+        # Thinning: candidates arrive at the highest rate and are accepted in proportion to the rate
+        # at their time.
         if randomness.random() * highest < wave.rate_at(at):
             request_class = randomness.choices(list(classes), shares)[0]
             arrivals.append(Arrival(at=at, request_class=request_class, number=len(arrivals)))
--- a/packages/damsonlane_bench/src/damsonlane_bench/load/_sender.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/load/_sender.py
@@ -1,4 +1,4 @@
-"""Sending arrivals at their moments, whether or not earlier ones have ended."""
+"""Send arrivals at their planned times, whether or not earlier ones have completed."""
 
 import json
 import multiprocessing
@@ -12,31 +12,33 @@
 
 from damsonlane_bench.load._plan import Arrival
 
-#: Processes of the tool.
+#: Number of processes that send.
 _PROCESSES: Final = 3
-#: Requests that may be open at once in each of them.
+#: Requests that may be in flight at the same time in each of them.
 _THREADS: Final = 400
-#: Seconds that the processes get to start.
+#: Time for the processes to start, in seconds.
 _START_SECONDS: Final = 2.0
-#: Seconds beyond the deadline after which the tool itself gives up.
-_GRACE: Final = 5.0
+#: Time after the deadline until the client times out, in seconds.
+_GRACE_SECONDS: Final = 5.0
 
-EndingKind = Literal["answered", "late", "not-run", "unknown", "broken"]
+#: Answered in time or late; refused with the guarantee that it has not run; refused without it; no
+#: valid response.
+OutcomeKind = Literal["answered", "late", "not-run", "unknown", "broken"]
 
 
 @dataclass(frozen=True, kw_only=True)
 class Outcome:
-    """How one request ended, as its caller saw it."""
+    """Outcome of one request, as its caller saw it."""
 
     #: The arrival.
     arrival: Arrival
-    #: How it ended.
-    kind: EndingKind
-    #: Seconds from its planned moment to its ending.
+    #: Kind of the outcome.
+    kind: OutcomeKind
+    #: Seconds from its planned time to its completion.
     seconds: float
-    #: The idempotency key, or empty.
+    #: Its idempotency key, or an empty string.
     key: str
-    #: The request's identity, or empty.
+    #: Id that the system gave it, or an empty string.
     request: str
 
 
@@ -46,15 +48,15 @@
     run: str,
     at_start: Callable[[], None] = lambda: None,
 ) -> tuple[Outcome, ...]:
-    """Send all arrivals, each through the entries in turn.
+    """Send all arrivals, to the entries in turn, and return their outcomes in the same order.
 
-    Several processes share the work, so that the tool itself is no queue.
+    Several processes send, so that the client itself does not delay requests.
 
     Args:
-        arrivals: what to send, sorted by time.
-        entries: callers' addresses.
-        run: prefix of this run's keys.
-        at_start: called just before the first moment.
+        arrivals: planned requests, sorted by time.
+        entries: addresses of the entries for callers.
+        run: prefix of the idempotency keys of this run.
+        at_start: called when the plan starts.
     """
     start = time.monotonic() + _START_SECONDS
     context = multiprocessing.get_context("spawn")
@@ -85,22 +87,22 @@
 def _send(
     pool: urllib3.PoolManager, entry: str, arrival: Arrival, start: float, run: str
 ) -> Outcome:
-    wanted = arrival.request_class
-    key = f"{run}-{arrival.number}" if wanted.is_marked else ""
+    request_class = arrival.request_class
+    key = f"{run}-{arrival.number}" if request_class.is_marked else ""
     headers = {
-        "Authorization": f"Bearer {wanted.token}",
-        "Damsonlane-Deadline-Ms": str(wanted.deadline_ms),
+        "Authorization": f"Bearer {request_class.token}",
+        "Damsonlane-Deadline-Ms": str(request_class.deadline_ms),
     }
     if key:
         headers |= {"Idempotency-Key": key, "Damsonlane-Resend": "no"}
-    text = f"{arrival.number} " + "statement hearing refund " * (wanted.length // 25)
+    text = f"{arrival.number} " + "statement hearing refund " * (request_class.length // 25)
     try:
         response = pool.request(
             "POST",
-            f"http://{entry}/v1/pipelines/{wanted.pipeline}",
+            f"http://{entry}/v1/pipelines/{request_class.pipeline}",
             body=json.dumps({"input": text}),
             headers=headers,
-            timeout=wanted.deadline_ms / 1000 + _GRACE,
+            timeout=request_class.deadline_ms / 1000 + _GRACE_SECONDS,
         )
         body = json.loads(response.data)
         status = response.status
@@ -109,14 +111,14 @@
     seconds = time.monotonic() - start - arrival.at
     return Outcome(
         arrival=arrival,
-        kind=_judge(status, body, seconds, wanted.deadline_ms / 1000),
+        kind=_classify(status, body, seconds, request_class.deadline_ms / 1000),
         seconds=seconds,
         key=key,
         request=str(body.get("request", "")),
     )
 
 
-def _judge(status: int, body: dict[str, object], seconds: float, deadline: float) -> EndingKind:
+def _classify(status: int, body: dict[str, object], seconds: float, deadline: float) -> OutcomeKind:
     if status == 200:
         return "answered" if seconds <= deadline else "late"
     if status == 0 or "run" not in body:
--- a/packages/damsonlane_bench/src/damsonlane_bench/load/_summary.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/load/_summary.py
@@ -1,4 +1,4 @@
-"""Figures of one run of the load tool."""
+"""Statistics of one run of the load generator."""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -8,32 +8,32 @@
 
 from damsonlane_bench.load._sender import Outcome
 
-_MICROSECONDS = 1_000_000
-_LONGEST = 120 * _MICROSECONDS
+_MICROSECONDS_PER_SECOND = 1_000_000
+_MAX_LATENCY_MICROSECONDS = 120 * _MICROSECONDS_PER_SECOND
 
 
 @dataclass(frozen=True, kw_only=True)
 class ClassSummary:
-    """Figures of one class of requests."""
+    """Statistics of one class of requests."""
 
-    #: The class.
+    #: Name of the class.
     name: str
-    #: Requests sent.
+    #: Number of requests sent.
     sent: int
-    #: Share answered whole and in time.
+    #: Share answered within the deadline.
     attainment: float
-    #: Share refused truthfully as not run.
+    #: Share refused with the guarantee that they have not run.
     not_run: float
-    #: Share whose outcome is unknown, late or broken.
+    #: Share answered late, with unknown outcome, or without a valid response.
     other: float
-    #: Percentiles of the answered ones' times, in seconds.
+    #: Percentiles of the latency of those answered within the deadline, in seconds.
     median: float
     p99: float
     p999: float
 
 
 def summarize(outcomes: Sequence[Outcome]) -> tuple[ClassSummary, ...]:
-    """Return figures by class, and over all under the name ``all``."""
+    """Return statistics for each class, and for all requests under the name ``all``."""
     names = sorted({outcome.arrival.request_class.name for outcome in outcomes})
     groups = [
         (name, [o for o in outcomes if o.arrival.request_class.name == name]) for name in names
@@ -43,14 +43,14 @@
 
 def _summarize(name: str, outcomes: Sequence[Outcome]) -> ClassSummary:
     kinds = Counter(outcome.kind for outcome in outcomes)
-    histogram = HdrHistogram(1, _LONGEST, 3)
+    histogram = HdrHistogram(1, _MAX_LATENCY_MICROSECONDS, 3)
     for outcome in outcomes:
         if outcome.kind == "answered":
-            histogram.record_value(max(1, int(outcome.seconds * _MICROSECONDS)))
+            histogram.record_value(max(1, int(outcome.seconds * _MICROSECONDS_PER_SECOND)))
     sent = len(outcomes)
 
     def percentile(share: float) -> float:
-        return float(histogram.get_value_at_percentile(share)) / _MICROSECONDS
+        return float(histogram.get_value_at_percentile(share)) / _MICROSECONDS_PER_SECOND
 
     return ClassSummary(
         name=name,
