--- a/packages/damsonlane_bench/src/damsonlane_bench/standin/__init__.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/standin/__init__.py
@@ -1,7 +1,7 @@
-"""Stand-ins for targets, which count what they really ran."""
+"""Stand-ins for targets, which count their executions."""
 
 from damsonlane_bench.standin._behaviour import Behaviour
-from damsonlane_bench.standin._execution_counter import Execution, Oracle
-from damsonlane_bench.standin._server import HangUpError, StandIn
+from damsonlane_bench.standin._execution_counter import Execution, ExecutionCounter
+from damsonlane_bench.standin._server import DropConnectionError, StandIn
 
-__all__ = ["Behaviour", "Execution", "HangUpError", "Oracle", "StandIn"]
+__all__ = ["Behaviour", "DropConnectionError", "Execution", "ExecutionCounter", "StandIn"]
--- a/packages/damsonlane_bench/src/damsonlane_bench/standin/__main__.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/standin/__main__.py
@@ -1,4 +1,4 @@
-"""Runs one stand-in: ``python -m damsonlane_bench.standin --address 127.0.0.1:9001``."""
+"""Run one stand-in: ``python -m damsonlane_bench.standin --address 127.0.0.1:9001``."""
 
 import signal
 import threading
@@ -8,23 +8,23 @@
 
 from damsonlane_bench.standin import Behaviour, StandIn
 
-#: Requests held at once, the waiting ones included.
+#: Requests that are accepted at the same time, with those that wait for a slot.
 _THREADS = 100
 
 
 class _Server(wsgi.Server):
-    """A server without messages of its own, so that planned faults stay quiet."""
+    """A server that logs no errors, since injected faults would fill the log."""
 
     def error_log(self, msg: str = "", level: int = 20, traceback: bool = False) -> None:
-        """Drop a message."""
+        """Discard a message."""
 
 
 def run(address: str, threads: int = _THREADS, **behaviour: object) -> None:
-    """Run a stand-in until it is told to stop.
+    """Run a stand-in until SIGTERM.
 
     Args:
-        address: IP number and port.
-        threads: requests held at once.
+        address: IP address and port at which it listens.
+        threads: requests that are accepted at the same time.
         behaviour: fields of `Behaviour`.
     """
     host, _, port = address.rpartition(":")
--- a/packages/damsonlane_bench/src/damsonlane_bench/standin/_execution_counter.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/standin/_execution_counter.py
@@ -1,4 +1,4 @@
-"""What really ran: the oracle that tests ask."""
+"""Counts of what a stand-in ran, with which tests compare what callers are answered."""
 
 import threading
 from collections import Counter
@@ -7,20 +7,20 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Execution:
-    """One kind of work that ran."""
+    """One kind of work that a stand-in ran."""
 
-    #: Request that it was for.
+    #: Id of the request.
     request: str
-    #: Organisation that it was for.
+    #: Organisation of the caller.
     organisation: str
-    #: Stage.
+    #: Name of the stage.
     stage: str
-    #: Input, shortened.
+    #: Beginning of the input.
     text: str
 
 
-class Oracle:
-    """Counts executions; safe for many threads."""
+class ExecutionCounter:
+    """Counts executions and tokens; thread-safe."""
 
     def __init__(self) -> None:
         self._executions: Counter[Execution] = Counter()
@@ -28,7 +28,7 @@
         self.tokens = 0
 
     def count(self, execution: Execution) -> None:
-        """Count one execution, at the moment at which it takes effect."""
+        """Count one execution, called when it takes effect."""
         with self._lock:
             self._executions[execution] += 1
 
@@ -38,6 +38,6 @@
             self.tokens += number
 
     def executions(self) -> dict[Execution, int]:
-        """Return how often each kind of work ran."""
+        """Return the count of each execution."""
         with self._lock:
             return dict(self._executions)
--- a/packages/damsonlane_bench/src/damsonlane_bench/standin/_server.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/standin/_server.py
@@ -9,11 +9,11 @@
 from typing import Any, Final
 
 from damsonlane_bench.standin import _stage_functions
-from damsonlane_bench.standin._behaviour import Behaviour, is_due
-from damsonlane_bench.standin._execution_counter import Execution, Oracle
+from damsonlane_bench.standin._behaviour import Behaviour, is_nth
+from damsonlane_bench.standin._execution_counter import Execution, ExecutionCounter
 
-#: Longest part of an input that the oracle keeps.
-_KEPT_TEXT: Final = 200
+#: Characters of an input that are recorded.
+_RECORDED_CHARACTERS: Final = 200
 
 _STAGES: Final[dict[str, Callable[[str], str]]] = {
     "encode": _stage_functions.encode,
@@ -21,42 +21,42 @@
     "rerank": _stage_functions.rerank,
 }
 
-#: Input that no target survives.
+#: Input at which a target exits.
 DEADLY: Final = "end the target"
-#: Exit code of a process that ended so.
-_DEAD: Final = 70
+#: Exit code of a target that exits at `DEADLY`.
+_CRASH_EXIT_CODE: Final = 70
 
 
-class HangUpError(Exception):
-    """Raised to break the connection without an answer."""
+class DropConnectionError(Exception):
+    """Drops the connection of a request without a response."""
 
 
 class StandIn:
-    """One target: stage worker, plain service or engine, as the path asks."""
+    """A target that is a stage worker, a plain service or an engine, by the path of the request."""
 
     def __init__(self, behaviour: Behaviour) -> None:
         self.behaviour = behaviour
-        self.oracle: Final = Oracle()
+        self.counter: Final = ExecutionCounter()
         self._lock: Final = threading.Lock()
         self._held = 0
         self._count = 0
-        self._free = threading.Semaphore(behaviour.slots)
+        self._slots = threading.Semaphore(behaviour.slots)
 
     def __call__(self, environment: dict[str, Any], start: Any) -> Iterable[bytes]:
-        """Answer one request."""
+        """Handle one request."""
         path = environment["PATH_INFO"]
         if path == "/executions":
-            return self._answer_json(start, self._describe())
+            return self._respond_json(start, self._describe_executions())
         body = json.loads(environment["wsgi.input"].read(int(environment["CONTENT_LENGTH"])))
         if path == "/behaviour":
-            self._change(body)
-            return self._answer_json(start, {})
-        return self._work(path, body, start)
+            self._change_behaviour(body)
+            return self._respond_json(start, {})
+        return self._handle(path, body, start)
 
-    def _work(self, path: str, body: dict[str, Any], start: Any) -> Iterable[bytes]:
+    def _handle(self, path: str, body: dict[str, Any], start: Any) -> Iterable[bytes]:
         behaviour = self.behaviour
         if behaviour.is_leaving or behaviour.is_refusing:
-            return self._refuse(start, behaviour)
+            return self._reject(start, behaviour)
         with self._lock:
             self._held += 1
             self._count += 1
@@ -64,7 +64,7 @@
         if path == "/v1/completions":
             return self._generate(body, start, behaviour, count)
         try:
-            with self._free:
+            with self._slots:
                 return self._run_stage(body, start, behaviour, count)
         finally:
             self._release()
@@ -76,20 +76,20 @@
         time.sleep(behaviour.seconds + behaviour.seconds_per_thousand * len(text) / 1000)
         self._record(body, text)
         if DEADLY in text:
-            os._exit(_DEAD)
-        if is_due(behaviour.hang_up_every, count):
-            raise HangUpError
-        if is_due(behaviour.fail_every, count):
-            return self._answer_json(start, {"error": "planned"}, "500 Internal Server Error")
-        answer = {name: body[name] for name in ("request", "organisation", "stage", "attempt")}
-        answer["output"] = _STAGES.get(body["stage"], _stage_functions.encode)(text)
-        if is_due(behaviour.cross_every, count):
-            answer["request"] = "another"
-        data = json.dumps(answer).encode()
-        if is_due(behaviour.truncate_every, count):
-            # The length is right and the text is not: only its form shows the fault.
+            os._exit(_CRASH_EXIT_CODE)
+        if is_nth(behaviour.hang_up_every, count):
+            raise DropConnectionError
+        if is_nth(behaviour.fail_every, count):
+            return self._respond_json(start, {"error": "planned"}, "500 Internal Server Error")
+        response = {name: body[name] for name in ("request", "organisation", "stage", "attempt")}
+        response["output"] = _STAGES.get(body["stage"], _stage_functions.encode)(text)
+        if is_nth(behaviour.cross_every, count):
+            response["request"] = "another"
+        data = json.dumps(response).encode()
+        if is_nth(behaviour.truncate_every, count):
+            # The Content-Length is that of the truncated text, so only the JSON shows the fault.
             data = data[: len(data) // 2]
-        return self._answer(start, "200 OK", data)
+        return self._respond(start, "200 OK", data)
 
     def _generate(
         self, body: dict[str, Any], start: Any, behaviour: Behaviour, count: int
@@ -100,7 +100,7 @@
 
     def _stream(self, body: dict[str, Any], behaviour: Behaviour, count: int) -> Iterator[bytes]:
         try:
-            with self._free:
+            with self._slots:
                 yield from self._tokens(body, behaviour, count)
         finally:
             self._release()
@@ -110,17 +110,17 @@
         time.sleep(behaviour.seconds + behaviour.seconds_per_thousand * len(prompt) / 1000)
         metadata = dict(body["metadata"])
         self._record(metadata, prompt)
-        if is_due(behaviour.cross_every, count):
+        if is_nth(behaviour.cross_every, count):
             metadata["request"] = "another"
         tokens = _stage_functions.generate(prompt)
-        if is_due(behaviour.truncate_every, count):
+        if is_nth(behaviour.truncate_every, count):
             tokens = tokens[: len(tokens) // 2]
         for token in tokens:
             time.sleep(behaviour.token_seconds)
-            self.oracle.add_tokens(1)
+            self.counter.add_tokens(1)
             event = {"id": metadata["request"], "choices": [{"text": token}], "metadata": metadata}
             yield f"data: {json.dumps(event)}\n\n".encode()
-        if not is_due(behaviour.truncate_every, count):
+        if not is_nth(behaviour.truncate_every, count):
             yield b"data: [DONE]\n\n"
 
     def _record(self, names: dict[str, Any], text: str) -> None:
@@ -128,13 +128,13 @@
             request=names["request"],
             organisation=names["organisation"],
             stage=names["stage"],
-            text=text[:_KEPT_TEXT],
+            text=text[:_RECORDED_CHARACTERS],
         )
-        self.oracle.count(execution)
+        self.counter.count(execution)
 
-    def _refuse(self, start: Any, behaviour: Behaviour) -> Iterable[bytes]:
+    def _reject(self, start: Any, behaviour: Behaviour) -> Iterable[bytes]:
         headers = [("Damsonlane-Leaving", "1")] if behaviour.is_leaving else []
-        return self._answer(start, "503 Service Unavailable", b"{}", headers)
+        return self._respond(start, "503 Service Unavailable", b"{}", headers)
 
     def _release(self) -> None:
         with self._lock:
@@ -145,27 +145,27 @@
             load = {"held": self._held, "slots": self.behaviour.slots}
         return ("Damsonlane-Load", json.dumps(load))
 
-    def _change(self, fields: dict[str, Any]) -> None:
+    def _change_behaviour(self, fields: dict[str, Any]) -> None:
         behaviour = self.behaviour.with_fields(**fields)
         if behaviour.slots != self.behaviour.slots:
-            self._free = threading.Semaphore(behaviour.slots)
+            self._slots = threading.Semaphore(behaviour.slots)
         self.behaviour = behaviour
 
-    def _describe(self) -> dict[str, Any]:
+    def _describe_executions(self) -> dict[str, Any]:
         executions = [
             {**asdict(execution), "count": count}
-            for execution, count in self.oracle.executions().items()
+            for execution, count in self.counter.executions().items()
         ]
-        return {"executions": executions, "tokens": self.oracle.tokens, "held": self._held}
+        return {"executions": executions, "tokens": self.counter.tokens, "held": self._held}
 
-    def _answer_json(
+    def _respond_json(
         self, start: Any, body: dict[str, Any], status: str = "200 OK"
     ) -> Iterable[bytes]:
-        return self._answer(start, status, json.dumps(body).encode())
+        return self._respond(start, status, json.dumps(body).encode())
 
-    def _answer(
+    def _respond(
         self, start: Any, status: str, data: bytes, headers: Iterable[tuple[str, str]] = ()
     ) -> Iterable[bytes]:
-        fixed = [("Content-Type", "application/json"), ("Content-Length", str(len(data)))]
-        start(status, [*fixed, self._load_header(), *headers])
+        common = [("Content-Type", "application/json"), ("Content-Length", str(len(data)))]
+        start(status, [*common, self._load_header(), *headers])
         return [data]
--- a/packages/damsonlane_bench/src/damsonlane_bench/standin/_stage_functions.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/standin/_stage_functions.py
@@ -1,9 +1,9 @@
-"""What the stand-ins make of a text: small, honest forms of each stage."""
+"""Functions of the stages, as stand-ins run them on a text."""
 
 import re
 from typing import Final
 
-#: RequestRunner that retrieval finds.
+#: Passages in which `retrieve` searches.
 PASSAGES: Final = (
     "A chargeback must be answered within the days that the card scheme allows.",
     "A statement line shows the day of settlement, not the day of sale.",
@@ -14,33 +14,33 @@
 )
 
 _WORD: Final = re.compile(r"\w+")
-#: Marks the start of the passages in a text.
-_MARK: Final = "\n---\n"
+#: Separates a question from its passages.
+_SEPARATOR: Final = "\n---\n"
 
 
 def encode(text: str) -> str:
-    """Return the text with its white space folded."""
+    """Return the text with white space normalized."""
     return " ".join(text.split())
 
 
 def retrieve(text: str) -> str:
-    """Return the text with the passages that share a word with it."""
+    """Return the text followed by the passages that share a word with it."""
     words = _words(text)
     found = [passage for passage in PASSAGES if words & _words(passage)]
-    return text + _MARK + "\n".join(found)
+    return text + _SEPARATOR + "\n".join(found)
 
 
 def rerank(text: str) -> str:
-    """Return the text with its passages sorted by shared words."""
-    question, _, passages = text.partition(_MARK)
+    """Return the text with its passages sorted by the number of shared words."""
+    question, _, passages = text.partition(_SEPARATOR)
     words = _words(question)
     ranked = sorted(passages.splitlines(), key=lambda line: -len(words & _words(line)))
-    return question + _MARK + "\n".join(ranked)
+    return question + _SEPARATOR + "\n".join(ranked)
 
 
 def generate(text: str) -> list[str]:
-    """Return the tokens of an answer made from question and best passage."""
-    question, _, passages = text.partition(_MARK)
+    """Return the tokens of an answer that quotes the question and its first passage."""
+    question, _, passages = text.partition(_SEPARATOR)
     best = (passages.splitlines() or ["Nothing was found."])[0]
     answer = f"On '{question[:60]}': {best}"
     return re.findall(r"\S+\s*", answer)
