--- a/packages/damsonlane_bench/src/damsonlane_bench/registered/__init__.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/registered/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins for targets that register themselves: plain services, engines and stage pools."""
+"""Stand-ins for targets that register at control replicas: plain, engine and pool targets."""
 
 from damsonlane_bench.registered._target import (
     LEAVING_SIGNAL,
--- a/packages/damsonlane_bench/src/damsonlane_bench/registered/__main__.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/registered/__main__.py
@@ -1,4 +1,4 @@
-"""Runs one registered stand-in until SIGTERM, at which it leaves."""
+"""Run one registered stand-in until SIGTERM, at which it drains and exits."""
 
 import asyncio
 import signal
@@ -17,26 +17,26 @@
 
 async def _run(service: str, kind: Kind, address: str, registries: list[str]) -> None:
     target = RegisteredTarget(service, kind, address, registries)
-    stopped = asyncio.Event()
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
-    loop.add_signal_handler(signal.SIGTERM, stopped.set)
-    loop.add_signal_handler(REST_SIGNAL, target.ask_for_rest)
-    loop.add_signal_handler(LEAVING_SIGNAL, target.say_leaving)
-    loop.add_signal_handler(LIMIT_SIGNAL, target.name_limit)
-    loop.add_signal_handler(LIMIT_END_SIGNAL, target.end_limit)
+    loop.add_signal_handler(signal.SIGTERM, stop_requested.set)
+    loop.add_signal_handler(REST_SIGNAL, target.request_backoff)
+    loop.add_signal_handler(LEAVING_SIGNAL, target.announce_draining)
+    loop.add_signal_handler(LIMIT_SIGNAL, target.announce_next_rate_limit)
+    loop.add_signal_handler(LIMIT_END_SIGNAL, target.end_rate_limit)
     await target.start()
-    await stopped.wait()
-    await target.leave()
+    await stop_requested.wait()
+    await target.drain()
 
 
 def run(service: str, kind: Kind, address: str, registries: str) -> None:
     """Run a stand-in.
 
     Args:
-        service: its service.
+        service: name of its service.
         kind: plain, engine or pool.
-        address: where it listens.
-        registries: addresses of control that take heartbeats, joined by semicolons.
+        address: IP address and port at which it listens.
+        registries: addresses of control replicas for heartbeats, separated by semicolons.
     """
     asyncio.run(_run(service, kind, address, registries.split(";")))
 
--- a/packages/damsonlane_bench/src/damsonlane_bench/registered/_target.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/registered/_target.py
@@ -1,4 +1,4 @@
-"""A target that sends heartbeats, says when it leaves, and counts what it ran."""
+"""A target that sends heartbeats, announces draining, back-off and rate limits, and logs runs."""
 
 import asyncio
 import itertools
@@ -26,34 +26,34 @@
 
 _LOG: Final = logging.getLogger(__name__)
 
-#: What a target does: one answer, a stream of events, or pieces of stages.
+#: What a target serves: single responses, streams of events, or pieces of stages.
 Kind = Literal["plain", "engine", "pool"]
 
 #: Seconds between heartbeats.
 HEARTBEAT_SECONDS: Final = 0.5
-#: Seconds for which one heartbeat may take.
-_CALL_SECONDS: Final = 1.0
-#: Seconds of work of a plain request, and of a call to a pool.
+#: Timeout of one heartbeat, in seconds.
+_HEARTBEAT_TIMEOUT_SECONDS: Final = 1.0
+#: Duration of a plain request and of a call to a pool, in seconds.
 _WORK_SECONDS: Final = 0.02
-#: Events of a stream, and the seconds between them.
+#: Number of events of a stream, and the seconds between them.
 EVENTS: Final = 20
 _EVENT_SECONDS: Final = 0.05
-#: Body of a request, and key of the material of pieces, that no target survives.
+#: Body of a request, or material key of a piece, at which a target exits.
 DEADLY: Final = "end the target"
-#: Seconds from the beginning of such a run until the process ends.
-_DYING_SECONDS: Final = 0.05
-#: Exit code of a process that ended so.
-_DEAD: Final = 70
-#: Signals at which a target turns away what comes and asks for rest, and at which it says in
-#: its answers that it leaves.
+#: Seconds from the beginning of such a run until the process exits.
+_CRASH_DELAY_SECONDS: Final = 0.05
+#: Exit code of a process that exits at `DEADLY`.
+_CRASH_EXIT_CODE: Final = 70
+#: Signals at which a target rejects requests and requests a back-off, and at which it announces in
+#: its responses that it is draining.
 REST_SIGNAL: Final = signal.SIGUSR1
 LEAVING_SIGNAL: Final = signal.SIGUSR2
-#: Signals at which a target names the next of `LIMITS`, and at which it names none any more.
+#: Signals at which a target announces the next of `RATE_LIMITS`, and at which it announces none.
 LIMIT_SIGNAL: Final = signal.SIGRTMIN
 LIMIT_END_SIGNAL: Final = signal.SIGRTMIN + 1
-#: Rate limits that a target names one after the other: what the header says, and the requests a
-#: second that it means; None where it means nothing.
-LIMITS: Final[tuple[tuple[str, float | None], ...]] = (
+#: Rate limits that a target announces one after the other: the value of the header, and the
+#: requests per second that it means; None for an invalid value.
+RATE_LIMITS: Final[tuple[tuple[str, float | None], ...]] = (
     ("2", 2.0),
     ("0.5", 0.5),
     ("8", 8.0),
@@ -64,20 +64,20 @@
     ("0.05", 0.05),
     ("1e9", 1e9),
 )
-#: Seconds of rest that a target asks for, and for which it turns away what comes.
+#: Seconds of back-off that a target requests, and for which it rejects requests.
 REST_SECONDS: Final = 1.5
-#: Seconds for which a leaving target goes on serving.
-_LEAVING_SECONDS: Final = 1.5
+#: Seconds for which a draining target continues to serve.
+_DRAINING_SECONDS: Final = 1.5
 
 
 class RegisteredTarget:
-    """One stand-in.
+    """A stand-in for a target.
 
     Args:
-        service: its service.
-        kind: what it does.
-        address: where it listens.
-        registries: addresses of control that take heartbeats.
+        service: name of its service.
+        kind: what it serves.
+        address: IP address and port at which it listens.
+        registries: addresses of control replicas for heartbeats.
     """
 
     def __init__(self, service: str, kind: Kind, address: str, registries: list[str]) -> None:
@@ -93,55 +93,55 @@
             sequence=0,
         )
         self._listener: Final = WebListener(address, self._serve, render_refusal=_render)
-        self._beating: asyncio.Task[None] | None = None
-        self._rests_until = 0.0
-        self._says_leaving = False
-        self._limits = itertools.cycle(LIMITS)
-        self._limit = ""
-        self._rate: float | None = None
-        self._has_named = False
-        #: Ids of the requests that ran here, in order.
+        self._heartbeats: asyncio.Task[None] | None = None
+        self._backoff_until = 0.0
+        self._is_draining = False
+        self._rate_limits = itertools.cycle(RATE_LIMITS)
+        self._limit_header = ""
+        self._rate_limit: float | None = None
+        self._has_announced_limit = False
+        #: Ids of the requests that ran, in order.
         self.ran: list[str] = []
 
     async def start(self) -> None:
-        """Listen and send heartbeats."""
+        """Start listening and sending heartbeats."""
         await self._listener.start()
-        self._beating = asyncio.create_task(self._beat())
+        self._heartbeats = asyncio.create_task(self._send_heartbeats())
 
-    def ask_for_rest(self) -> None:
-        """Turn away what comes for a while, and ask for rest."""
-        self._rests_until = time.monotonic() + REST_SECONDS
+    def request_backoff(self) -> None:
+        """Reject requests for a while, with a back-off."""
+        self._backoff_until = time.monotonic() + REST_SECONDS
 
-    def name_limit(self) -> None:
-        """Name the next rate limit in each answer from now on."""
-        self._limit, self._rate = next(self._limits)
-        self._has_named = True
+    def announce_next_rate_limit(self) -> None:
+        """Announce the next rate limit in each response from now on."""
+        self._limit_header, self._rate_limit = next(self._rate_limits)
+        self._has_announced_limit = True
 
-    def end_limit(self) -> None:
-        """Name no rate limit any more."""
-        self._limit, self._rate = "", None
+    def end_rate_limit(self) -> None:
+        """Announce no rate limit from now on."""
+        self._limit_header, self._rate_limit = "", None
 
-    def say_leaving(self) -> None:
-        """Say in each answer that it leaves, whether control knows it or not."""
-        self._says_leaving = True
+    def announce_draining(self) -> None:
+        """Announce draining in each response, whether or not control replicas know of it."""
+        self._is_draining = True
 
-    async def leave(self) -> None:
-        """Say that it leaves, serve on for a while, and stop."""
-        if self._beating is not None:
-            self._beating.cancel()
+    async def drain(self) -> None:
+        """Report that it is draining, continue to serve for a while, deregister and stop."""
+        if self._heartbeats is not None:
+            self._heartbeats.cancel()
         self._record = self._record.with_standing("leaving")
-        await self._say("PUT")
-        await asyncio.sleep(_LEAVING_SECONDS)
-        await self._say("DELETE")
+        await self._report("PUT")
+        await asyncio.sleep(_DRAINING_SECONDS)
+        await self._report("DELETE")
         await self._listener.stop()
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
-            await self._say("PUT")
+            await self._report("PUT")
             await asyncio.sleep(HEARTBEAT_SECONDS)
 
-    async def _say(self, method: str) -> None:
-        """Send the record to the first registry that takes it."""
+    async def _report(self, method: str) -> None:
+        """Send a heartbeat or deregistration to the first registry that accepts it."""
         self._record = replace(self._record, sequence=self._record.sequence + 1)
         request = HttpRequest(
             method=method,
@@ -150,15 +150,15 @@
             body=encode_bytes(self._record, TargetRecord) if method == "PUT" else b"",
         )
         for address in self._registries:
-            if await self._call(address, request):
+            if await self._send_report(address, request):
                 return
-        _LOG.warning("no registry took the heartbeat", extra={"target": self._record.target})
+        _LOG.warning("no registry accepted the heartbeat", extra={"target": self._record.target})
 
-    async def _call(self, address: str, request: HttpRequest) -> bool:
+    async def _send_report(self, address: str, request: HttpRequest) -> bool:
         pool = ConnectionPool(address, 1)
         try:
-            async with asyncio.timeout(_CALL_SECONDS):
-                exchange = await pool.send(request, _CALL_SECONDS)
+            async with asyncio.timeout(_HEARTBEAT_TIMEOUT_SECONDS):
+                exchange = await pool.send(request, _HEARTBEAT_TIMEOUT_SECONDS)
                 try:
                     head = await exchange.read_head()
                     await exchange.body.read_whole()
@@ -176,47 +176,51 @@
         if request.path == "/ran":
             reply.send_whole(HttpResponse(status=200, body=json.dumps(self.ran).encode()))
             return
-        is_resting = time.monotonic() < self._rests_until
-        self._tell_arrival(request, is_resting=is_resting)
-        if is_resting:
-            reply.send_whole(HttpResponse(status=503, headers=self._refusal_headers(request)))
+        is_backing_off = time.monotonic() < self._backoff_until
+        self._log_arrival(request, is_backing_off=is_backing_off)
+        if is_backing_off:
+            reply.send_whole(
+                HttpResponse(status=503, headers=self._make_rejection_headers(request))
+            )
         elif self._kind != "pool" and request.find(b"damsonlane-target") != self._record.target:
-            # Also a deadly request: what is meant for another target never runs here.
+            # Checked first: a request for another target never runs here, not even a crashing one.
             reply.send_whole(HttpResponse(status=421))
-        elif _is_deadly(request, self._kind):
-            _tell_run(request, is_deadly=True)
-            await asyncio.sleep(_DYING_SECONDS)
-            os._exit(_DEAD)
+        elif _crashes_target(request, self._kind):
+            _log_run(request, is_crash=True)
+            await asyncio.sleep(_CRASH_DELAY_SECONDS)
+            os._exit(_CRASH_EXIT_CODE)
         elif self._kind == "pool":
-            await self._make_pieces(request, reply)
+            await self._compute_pieces(request, reply)
         elif self._kind == "engine":
             await self._stream(request, reply)
         else:
             await asyncio.sleep(_WORK_SECONDS)
-            self._note(request)
-            reply.send_whole(HttpResponse(status=200, headers=self._headers(request), body=b"ok"))
+            self._record_run(request)
+            reply.send_whole(
+                HttpResponse(status=200, headers=self._make_headers(request), body=b"ok")
+            )
 
-    def _tell_arrival(self, request: HttpRequest, *, is_resting: bool) -> None:
-        """Write to the log what came, and what its sender is told."""
+    def _log_arrival(self, request: HttpRequest, *, is_backing_off: bool) -> None:
+        """Log a request and the back-off and draining that its response announces."""
         line = {
             "came": request.find(b"damsonlane-request-id") or "",
             "target": self._record.target,
-            "rest": REST_SECONDS if is_resting else 0.0,
-            "leaves": self._says_leaving,
+            "rest": REST_SECONDS if is_backing_off else 0.0,
+            "leaves": self._is_draining,
             "at": time.time(),
         }
         print(json.dumps(line), flush=True)
 
-    def _refusal_headers(self, request: HttpRequest) -> tuple[tuple[bytes, bytes], ...]:
+    def _make_rejection_headers(self, request: HttpRequest) -> tuple[tuple[bytes, bytes], ...]:
         return (
-            *self._headers(request),
+            *self._make_headers(request),
             (b"Damsonlane-Run-No", b"1"),
             (b"Retry-After", str(REST_SECONDS).encode()),
         )
 
-    async def _make_pieces(self, request: HttpRequest, reply: Reply) -> None:
+    async def _compute_pieces(self, request: HttpRequest, reply: Reply) -> None:
         if request.path == "/v1/pieces/free":
-            reply.send_whole(HttpResponse(status=200, headers=self._headers(request)))
+            reply.send_whole(HttpResponse(status=200, headers=self._make_headers(request)))
             return
         await asyncio.sleep(_WORK_SECONDS)
         pieces = [
@@ -224,11 +228,11 @@
             for _ in json.loads(request.body)["pieces"]
         ]
         body = json.dumps({"pieces": pieces}).encode()
-        reply.send_whole(HttpResponse(status=200, headers=self._headers(request), body=body))
+        reply.send_whole(HttpResponse(status=200, headers=self._make_headers(request), body=body))
 
     async def _stream(self, request: HttpRequest, reply: Reply) -> None:
-        self._note(request)
-        headers = (*self._headers(request), (b"Content-Type", b"text/event-stream"))
+        self._record_run(request)
+        headers = (*self._make_headers(request), (b"Content-Type", b"text/event-stream"))
         reply.start(HttpHead(status=200, headers=headers))
         first = int(request.find(b"last-event-id") or 0) + 1
         for number in range(first, EVENTS + 1):
@@ -236,47 +240,49 @@
             await reply.send(f"id: {number}\ndata: token {number}\n\n".encode())
         reply.finish()
 
-    def _note(self, request: HttpRequest) -> None:
+    def _record_run(self, request: HttpRequest) -> None:
         self.ran.append(request.find(b"damsonlane-request-id") or "")
-        _tell_run(request)
+        _log_run(request)
 
-    def _headers(self, request: HttpRequest) -> tuple[tuple[bytes, bytes], ...]:
+    def _make_headers(self, request: HttpRequest) -> tuple[tuple[bytes, bytes], ...]:
         request_id = request.find(b"damsonlane-request-id") or ""
-        leaving = ((b"Damsonlane-Leaving", b"1"),) if self._says_leaving else ()
-        if self._has_named:
-            self._tell_naming(request_id)
-        limit = ((b"Damsonlane-Rate-Limit", self._limit.encode()),) if self._limit else ()
+        draining = ((b"Damsonlane-Leaving", b"1"),) if self._is_draining else ()
+        if self._has_announced_limit:
+            self._log_rate_limit(request_id)
+        rate_limit = (
+            ((b"Damsonlane-Rate-Limit", self._limit_header.encode()),) if self._limit_header else ()
+        )
         return (
             (b"Damsonlane-Request-Id", request_id.encode()),
             (b"Served-By", self._record.target.encode()),
-            *leaving,
-            *limit,
+            *draining,
+            *rate_limit,
         )
 
-    def _tell_naming(self, request_id: str) -> None:
-        """Write to the log what the head of an answer says of the rate limit."""
+    def _log_rate_limit(self, request_id: str) -> None:
+        """Log the rate limit that a response announces, or that it announces none."""
         line = {
             "named": request_id,
             "target": self._record.target,
-            "rate": self._rate,
+            "rate": self._rate_limit,
             "at": time.time(),
         }
         print(json.dumps(line), flush=True)
 
 
-def _tell_run(request: HttpRequest, *, is_deadly: bool = False) -> None:
-    """Write to the log what begins to run; memory would be lost with the process."""
+def _log_run(request: HttpRequest, *, is_crash: bool = False) -> None:
+    """Log a request that begins to run; a list in memory is lost when the process exits."""
     request_id = request.find(b"damsonlane-request-id") or ""
-    line = {"ran": request_id, "deadly": is_deadly, "at": time.time()}
+    line = {"ran": request_id, "deadly": is_crash, "at": time.time()}
     print(json.dumps(line), flush=True)
 
 
-def _is_deadly(request: HttpRequest, kind: Kind) -> bool:
-    """Tell whether the target does not survive what it is to run."""
+def _crashes_target(request: HttpRequest, kind: Kind) -> bool:
+    """Return whether the target exits when it runs a request."""
     if kind != "pool":
         return request.body == DEADLY.encode()
-    is_call = request.path == "/v1/pieces"
-    return is_call and any(
+    is_piece_call = request.path == "/v1/pieces"
+    return is_piece_call and any(
         piece["material_key"] == DEADLY for piece in json.loads(request.body)["pieces"]
     )
 
