--- a/packages/damsonlane_bench/src/damsonlane_bench/standin/_execution_counter.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/standin/_execution_counter.py
@@ -1,4 +1,4 @@
-"""Counts of what a stand-in ran, with which tests compare what callers are answered."""
+"""Counts of the executions of a stand-in, which tests compare with the responses to callers."""
 
 import threading
 from collections import Counter
@@ -28,7 +28,7 @@
         self.tokens = 0
 
     def count(self, execution: Execution) -> None:
-        """Count one execution, called when it takes effect."""
+        """Count one execution; called when it takes effect."""
         with self._lock:
             self._executions[execution] += 1
 
--- a/packages/damsonlaned/src/damsonlaned/dialects/_header_dialect.py
+++ b/packages/damsonlaned/src/damsonlaned/dialects/_header_dialect.py
@@ -188,11 +188,11 @@
         if request.method == "PUT":
             return Heartbeat(record=self.read_heartbeat(target, request.body))
         if request.method == "DELETE":
-            return Departure(target=target, start=self.read_departure(request.body))
+            return Departure(target=target, start=self.read_deregistration(request.body))
         return None
 
     @abstractmethod
-    def read_departure(self, body: bytes) -> int:
+    def read_deregistration(self, body: bytes) -> int:
         """Return the incarnation's start in a deregistration, in Unix milliseconds; 0 if absent."""
 
     @abstractmethod
--- a/packages/damsonlaned/src/damsonlaned/dialects/_native.py
+++ b/packages/damsonlaned/src/damsonlaned/dialects/_native.py
@@ -95,7 +95,7 @@
             raise BadRequestError("the path and the body name different targets")
         return record
 
-    def read_departure(self, body: bytes) -> int:
+    def read_deregistration(self, body: bytes) -> int:
         """Return 0: deregistrations of this dialect have no body."""
         return 0
 
