--- a/packages/damsonlane_bench/src/damsonlane_bench/demo.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/demo.py
@@ -9,7 +9,7 @@
 from typing import Any, Final
 
 from damsonlane_bench.fleet import Fleet, Response, wait_until
-from damsonlane_bench.trees import STAGES, digest_token, make_pipeline, make_services
+from damsonlane_bench.settings_trees import STAGES, digest_token, make_pipeline, make_services
 
 _TOKEN: Final = "florist-token"
 _FILING: Final = Path(__file__).with_name("filing.txt")
--- a/packages/damsonlane_bench/src/damsonlane_bench/overhead.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/overhead.py
@@ -16,7 +16,7 @@
 import urllib3
 
 from damsonlane_bench.fleet import Fleet
-from damsonlane_bench.trees import STAGES, digest_token, make_pipeline, make_services
+from damsonlane_bench.settings_trees import STAGES, digest_token, make_pipeline, make_services
 
 _TOKEN: Final = "overhead-token"
 _REQUESTS: Final = 300
--- a/packages/damsonlane_bench/src/damsonlane_bench/policy.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/policy.py
@@ -26,8 +26,8 @@
     send_arrivals,
     summarize,
 )
-from damsonlane_bench.machine import read_processor_times
-from damsonlane_bench.trees import STAGES, digest_token, make_pipeline, make_services
+from damsonlane_bench.processor_times import read_processor_times
+from damsonlane_bench.settings_trees import STAGES, digest_token, make_pipeline, make_services
 
 _TOKENS: Final = {"merchants": "merchants-token", "bureau": "bureau-token"}
 POLICIES: Final = ("random", "round-robin", "least-in-flight", "predicted", "paced")
--- a/packages/damsonlane_bench/src/damsonlane_bench/soak/_callers.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/soak/_callers.py
@@ -8,7 +8,7 @@
 
 from damsonlane_bench.registered._target import DEADLY
 from damsonlane_bench.routes import CALLER_KEY, RoutesFleet
-from damsonlane_bench.soak._journal import Answer, ReadBack, RunJournal
+from damsonlane_bench.soak._observations import Answer, ReadBack, RunJournal
 
 #: Seconds for which a caller waits for an answer.
 _PATIENCE: Final = 6.0
--- a/packages/damsonlane_bench/src/damsonlane_bench/soak/_looks.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/soak/_checks.py
@@ -6,8 +6,8 @@
 from typing import Final
 
 from damsonlane_bench.registered._target import EVENTS
-from damsonlane_bench.soak._journal import Arrival, RunJournal, TargetRun
-from damsonlane_bench.soak._promises import promise
+from damsonlane_bench.soak._guarantees import promise
+from damsonlane_bench.soak._observations import Arrival, RunJournal, TargetRun
 
 #: Seconds without a fault after which all boxes know what one of them knew before.
 SETTLED_SECONDS: Final = 3.0
--- a/packages/damsonlane_bench/src/damsonlane_bench/soak/_judge.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/soak/_evaluation.py
@@ -3,10 +3,10 @@
 from collections.abc import Sequence
 
 # Each module registers the promises that it looks for.
-from damsonlane_bench.soak import _looks as _looks
-from damsonlane_bench.soak import _rate_limits as _rate_limits
-from damsonlane_bench.soak._journal import RunJournal, TargetRun
-from damsonlane_bench.soak._promises import PROMISES, Breach
+from damsonlane_bench.soak import _checks as _checks
+from damsonlane_bench.soak import _rate_limit_check as _rate_limit_check
+from damsonlane_bench.soak._guarantees import PROMISES, Breach
+from damsonlane_bench.soak._observations import RunJournal, TargetRun
 
 
 def judge(journal: RunJournal, runs: Sequence[TargetRun]) -> tuple[Breach, ...]:
--- a/packages/damsonlane_bench/src/damsonlane_bench/soak/_promises.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/soak/_guarantees.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from damsonlane_bench.soak._journal import RunJournal, TargetRun
+from damsonlane_bench.soak._observations import RunJournal, TargetRun
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/packages/damsonlane_bench/src/damsonlane_bench/soak/_plan.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/soak/_plan.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, replace
 from typing import Final
 
-from damsonlane_bench.soak._size import FleetSize
+from damsonlane_bench.soak._fleet_size import FleetSize
 
 #: Draws the box of a fault; empty for all boxes.
 DrawBox = Callable[[random.Random, "Boxes"], str]
--- a/packages/damsonlane_bench/src/damsonlane_bench/soak/_rate_limits.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/soak/_rate_limit_check.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 from typing import Final
 
-from damsonlane_bench.soak._journal import Arrival, Naming, RunJournal, TargetRun
-from damsonlane_bench.soak._promises import promise
+from damsonlane_bench.soak._guarantees import promise
+from damsonlane_bench.soak._observations import Arrival, Naming, RunJournal, TargetRun
 
 #: Seconds over which requests are counted, how often a rate fits into them, and how many more.
 WINDOW_SECONDS: Final = 4.0
--- a/packages/damsonlane_bench/src/damsonlane_bench/soak/_run.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/soak/_soak_run.py
@@ -12,15 +12,15 @@
 from damsonlane_bench.registered import LEAVING_SIGNAL, LIMIT_END_SIGNAL, LIMIT_SIGNAL, REST_SIGNAL
 from damsonlane_bench.routes import RoutesFleet, make_document
 from damsonlane_bench.soak._callers import Caller, OperatorThread
-from damsonlane_bench.soak._journal import (
+from damsonlane_bench.soak._evaluation import judge
+from damsonlane_bench.soak._guarantees import Breach
+from damsonlane_bench.soak._observations import (
     RunJournal,
     read_arrivals,
     read_namings,
     read_target_runs,
 )
-from damsonlane_bench.soak._judge import judge
 from damsonlane_bench.soak._plan import LIMIT_KINDS, WORD_KINDS, Fault, Plan
-from damsonlane_bench.soak._promises import Breach
 
 #: Callers that send requests of all routes, and one more for each further entry.
 CALLERS: Final = 5
--- a/packages/damsonlane_bench/src/damsonlane_bench/tests/test_deadly_pipelines.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/tests/test_crash_pipelines.py
@@ -14,8 +14,8 @@
 from pathlib import Path
 
 from damsonlane_bench.fleet import Fleet, Response, send, wait_until
+from damsonlane_bench.settings_trees import digest_token, make_pipeline, make_services
 from damsonlane_bench.standin._server import DEADLY
-from damsonlane_bench.trees import digest_token, make_pipeline, make_services
 
 TOKEN = "north-token"
 #: Times that the caller sends its request again.
--- a/packages/damsonlane_bench/src/damsonlane_bench/tests/test_membership.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/tests/test_membership.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from damsonlane_bench.fleet import Fleet, wait_until
-from damsonlane_bench.trees import digest_token, make_pipeline, make_services
+from damsonlane_bench.settings_trees import digest_token, make_pipeline, make_services
 
 _TOKEN = "north-token"
 
--- a/packages/damsonlane_bench/src/damsonlane_bench/tests/test_requests.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/tests/test_requests.py
@@ -14,7 +14,7 @@
 import urllib3
 
 from damsonlane_bench.fleet import Fleet, Response, send, wait_until
-from damsonlane_bench.trees import STAGES, digest_token, make_pipeline, make_services
+from damsonlane_bench.settings_trees import STAGES, digest_token, make_pipeline, make_services
 
 _NORTH = "north-token"
 _SOUTH = "south-token"
--- a/packages/damsonlane_bench/src/damsonlane_bench/tests/test_soak.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/tests/test_soak.py
@@ -14,7 +14,10 @@
     Soak,
     draw_plan,
 )
-from damsonlane_bench.soak._journal import (
+from damsonlane_bench.soak._checks import WHOLE_STREAM
+from damsonlane_bench.soak._evaluation import judge
+from damsonlane_bench.soak._guarantees import PROMISES
+from damsonlane_bench.soak._observations import (
     Answer,
     Arrival,
     Disturbance,
@@ -24,9 +27,6 @@
     TargetRun,
     read_target_runs,
 )
-from damsonlane_bench.soak._judge import judge
-from damsonlane_bench.soak._looks import WHOLE_STREAM
-from damsonlane_bench.soak._promises import PROMISES
 
 #: Seed and length of the run of each build.
 SEED = 7
