--- a/packages/damsonlane_bench/src/damsonlane_bench/soak/__init__.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/soak/__init__.py
@@ -1,22 +1,30 @@
-"""A fault soak: real processes under faults drawn from a seed, judged by what callers saw.
+"""Fault soak: runs real processes under random faults and checks what callers observed.
 
-A plan enters, and a verdict leaves: every promise that was broken, with the request.
+`draw_plan` draws a `Plan` from a seed; `SoakRun` executes it and returns a `SoakResult` with every
+violated guarantee and the request concerned.
 """
 
 from damsonlane_bench.soak._fleet_size import FleetSize
-from damsonlane_bench.soak._guarantees import Breach
-from damsonlane_bench.soak._plan import FAULT_KINDS, LIMIT_KINDS, WORD_KINDS, Fault, Plan, draw_plan
-from damsonlane_bench.soak._soak_run import Soak, Verdict
+from damsonlane_bench.soak._guarantees import Violation
+from damsonlane_bench.soak._plan import (
+    ANNOUNCEMENT_KINDS,
+    PROCESS_FAULT_KINDS,
+    RATE_LIMIT_KINDS,
+    Fault,
+    Plan,
+    draw_plan,
+)
+from damsonlane_bench.soak._soak_run import SoakResult, SoakRun
 
 __all__ = [
-    "FAULT_KINDS",
-    "LIMIT_KINDS",
-    "WORD_KINDS",
-    "Breach",
+    "ANNOUNCEMENT_KINDS",
+    "PROCESS_FAULT_KINDS",
+    "RATE_LIMIT_KINDS",
     "Fault",
     "FleetSize",
     "Plan",
-    "Soak",
-    "Verdict",
+    "SoakResult",
+    "SoakRun",
+    "Violation",
     "draw_plan",
 ]
--- a/packages/damsonlane_bench/src/damsonlane_bench/soak/__main__.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/soak/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m damsonlane_bench.soak``: runs of the soak, by seeds or from a kept plan."""
+"""``python -m damsonlane_bench.soak``: runs the soak for seeds or from a stored plan."""
 
 import json
 import sys
@@ -10,9 +10,9 @@
 import fire
 
 from damsonlane.codec import decode_bytes, encode_text
-from damsonlane_bench.soak import FleetSize, Plan, Soak, Verdict, draw_plan
+from damsonlane_bench.soak import FleetSize, Plan, SoakResult, SoakRun, draw_plan
 
-#: Seconds for which callers send in one run, unless told otherwise.
+#: Default length of one run, in seconds.
 SECONDS: Final = 20.0
 
 
@@ -27,62 +27,62 @@
     entries: int = 2,
     targets: int = 2,
 ) -> None:
-    """Play seeds one after the other and keep what failed.
+    """Run the soak for consecutive seeds and store the logs of failed runs.
 
     Args:
-        seed: the first seed.
-        seeds: how many to play.
-        seconds: how long callers send in each.
-        plan: file of a plan to play instead.
-        folder: takes a plan for each run, and the logs of those that failed.
-        skip: numbers of faults to leave out, joined by semicolons, to shrink a plan.
-        controls: control replicas.
-        entries: entries.
-        targets: targets of each of the three services.
+        seed: first seed.
+        seeds: number of seeds.
+        seconds: length of each run.
+        plan: file of a plan to run instead.
+        folder: receives the plan of each run, and the logs of failed ones.
+        skip: indices of faults to leave out of the plan file, separated by semicolons.
+        controls: number of control replicas.
+        entries: number of entries.
+        targets: number of targets of each of the three services.
     """
-    kept = Path(folder)
-    kept.mkdir(parents=True, exist_ok=True)
+    output_folder = Path(folder)
+    output_folder.mkdir(parents=True, exist_ok=True)
     failed = 0
     size = FleetSize(controls=controls, entries=entries, targets=targets)
     if plan:
         plans = [_read_plan(plan, str(skip))]
     else:
         plans = [draw_plan(seed + number, seconds, size) for number in range(seeds)]
-    for plan_to_play in plans:
-        verdict = _play(plan_to_play, kept)
-        failed += bool(verdict.breaches)
+    for plan_to_run in plans:
+        result = _run_plan(plan_to_run, output_folder)
+        failed += bool(result.violations)
     print(f"{len(plans) - failed} passed, {failed} failed")
     sys.exit(1 if failed else 0)
 
 
-def _read_plan(plan: str, skip: str) -> Plan:
-    """Return a plan from its file, without some of its faults."""
-    read = decode_bytes(Path(plan).read_bytes(), Plan)
-    left_out = {int(number) for number in skip.split(";") if number}
-    faults = tuple(fault for index, fault in enumerate(read.faults) if index not in left_out)
-    return read.with_faults(faults)
+def _read_plan(path: str, skip: str) -> Plan:
+    """Return the plan in a file, without the faults whose indices are to be skipped."""
+    plan = decode_bytes(Path(path).read_bytes(), Plan)
+    skipped = {int(number) for number in skip.split(";") if number}
+    faults = tuple(fault for index, fault in enumerate(plan.faults) if index not in skipped)
+    return plan.with_faults(faults)
 
 
-def _play(plan: Plan, kept: Path) -> Verdict:
-    """Play a plan that was written before; keep its folder if it failed."""
-    (kept / f"{plan.seed}.json").write_text(encode_text(plan, Plan), encoding="utf-8")
+def _run_plan(plan: Plan, output_folder: Path) -> SoakResult:
+    """Write the plan to the folder, run it, and copy the logs if it failed."""
+    (output_folder / f"{plan.seed}.json").write_text(encode_text(plan, Plan), encoding="utf-8")
     began_at = time.monotonic()
     with tempfile.TemporaryDirectory() as scratch:
-        verdict = Soak(plan, Path(scratch)).run()
-        if verdict.breaches:
-            target = kept / f"{plan.seed}-logs"
-            target.mkdir(exist_ok=True)
+        result = SoakRun(plan, Path(scratch)).run()
+        if result.violations:
+            log_folder = output_folder / f"{plan.seed}-logs"
+            log_folder.mkdir(exist_ok=True)
             for log in Path(scratch).glob("*.log"):
-                (target / log.name).write_bytes(log.read_bytes())
+                (log_folder / log.name).write_bytes(log.read_bytes())
     print(
-        f"seed {plan.seed}: {len(plan.faults)} faults, answers {json.dumps(verdict.statuses)}, "
-        f"{verdict.deadly_ends} targets ended under the deadly request, "
-        f"{time.monotonic() - began_at:.0f} s, {len(verdict.breaches)} promises broken",
+        f"seed {plan.seed}: {len(plan.faults)} faults, responses {json.dumps(result.statuses)}, "
+        f"{result.crash_count} targets exited on the crash request, "
+        f"{time.monotonic() - began_at:.0f} s, {len(result.violations)} violations",
         flush=True,
     )
-    for breach in verdict.breaches:
-        print(f"  {breach.promise}: {breach.seen}", flush=True)
-    return verdict
+    for violation in result.violations:
+        print(f"  {violation.guarantee}: {violation.detail}", flush=True)
+    return result
 
 
 if __name__ == "__main__":
--- a/packages/damsonlane_bench/src/damsonlane_bench/soak/_checks.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/soak/_checks.py
@@ -1,4 +1,4 @@
-"""What callers, targets and the operator saw that breaks a promise."""
+"""Checks of the guarantees on responses, versions, quarantine, announcements and exits."""
 
 from bisect import bisect_left
 from collections import Counter
@@ -6,145 +6,156 @@
 from typing import Final
 
 from damsonlane_bench.registered._target import EVENTS
-from damsonlane_bench.soak._guarantees import promise
-from damsonlane_bench.soak._observations import Arrival, RunJournal, TargetRun
+from damsonlane_bench.soak._guarantees import guarantee
+from damsonlane_bench.soak._observations import Arrival, Observations, TargetRun
 
 #: Seconds without a fault after which all boxes know what one of them knew before.
-SETTLED_SECONDS: Final = 3.0
-#: Targets that may end under a request before it is known.
-ENDS_TO_KNOW: Final = 3
-#: Further targets that may end under it, counted once all boxes are settled.
-ENDS_BEYOND: Final = 3
-#: Seconds after the word of a target within which what was on its way may still come.
-ON_THE_WAY_SECONDS: Final = 0.5
-#: The same for targets that say they leave.
-LEAVING_ON_THE_WAY_SECONDS: Final = 2.0
-#: Requests that may still come later.
-MOST_AFTER_WORD: Final = 2
-#: The same for calls to pools, which do not tell which of two entries sent them: each of them
-#: may have heard the word, and the second one by its first call.
-MOST_AFTER_WORD_OF_POOLS: Final = 2 * MOST_AFTER_WORD + 1
-#: Route whose requests run once at most.
-ONCE: Final = "refund"
-#: Route of event streams.
-STREAM: Final = "chat"
-
-#: The whole body of a stream.
-WHOLE_STREAM: Final = "".join(
+PROPAGATION_SECONDS: Final = 3.0
+#: Number of targets that may exit on a request before it is quarantined.
+EXITS_TO_QUARANTINE: Final = 3
+#: Maximum number of further exits on it, counted once all boxes know that it is quarantined.
+MAX_FURTHER_EXITS: Final = 3
+#: Seconds after a target's announcement of back-off in which requests in flight may still arrive.
+IN_FLIGHT_SECONDS: Final = 0.5
+#: The same for the announcement that a target is draining.
+DRAINING_IN_FLIGHT_SECONDS: Final = 2.0
+#: Maximum number of requests that may arrive later still.
+MAX_LATE_REQUESTS: Final = 2
+#: The same for calls to pools, which do not say which of two entries sent them: both may have
+#: received the announcement, the second one in the response to its first call.
+MAX_LATE_POOL_CALLS: Final = 2 * MAX_LATE_REQUESTS + 1
+#: Route whose requests run at most once.
+AT_MOST_ONCE_ROUTE: Final = "refund"
+#: Route whose responses are event streams.
+STREAM_ROUTE: Final = "chat"
+
+#: Body of a complete stream.
+COMPLETE_STREAM: Final = "".join(
     f"id: {number}\ndata: token {number}\n\n" for number in range(1, EVENTS + 1)
 )
 
 
-@promise("runs once at most")
-def _look_for_doubles(journal: RunJournal, runs: Sequence[TargetRun]) -> Iterator[str]:
+@guarantee("a non-repeatable request runs at most once")
+def _check_at_most_once(observations: Observations, runs: Sequence[TargetRun]) -> Iterator[str]:
     counts = Counter(run.request for run in runs)
     for request, count in counts.items():
-        if request.startswith(ONCE) and count > 1:
+        if request.startswith(AT_MOST_ONCE_ROUTE) and count > 1:
             yield f"{request} ran {count} times"
 
 
-@promise("a refusal that says not run is true")
-def _look_for_false_refusals(journal: RunJournal, runs: Sequence[TargetRun]) -> Iterator[str]:
+@guarantee("a refused request did not run")
+def _check_refusals(observations: Observations, runs: Sequence[TargetRun]) -> Iterator[str]:
     ran = {run.request for run in runs}
-    for answer in journal.answers:
-        if answer.route == ONCE and answer.status == 503 and answer.request in ran:
-            yield f"{answer.request} was refused and ran"
+    for response in observations.responses:
+        if (
+            response.route == AT_MOST_ONCE_ROUTE
+            and response.status == 503
+            and response.request in ran
+        ):
+            yield f"{response.request} was refused but ran"
 
 
-@promise("an answer is whole and of its request")
-def _look_for_broken_answers(journal: RunJournal, runs: Sequence[TargetRun]) -> Iterator[str]:
+@guarantee("a response is complete and belongs to its request")
+def _check_responses(observations: Observations, runs: Sequence[TargetRun]) -> Iterator[str]:
     ran = {run.request for run in runs}
-    for answer in journal.answers:
-        if answer.status != 200:
+    for response in observations.responses:
+        if response.status != 200:
             continue
-        if answer.request not in ran:
-            yield f"{answer.request} was answered and never ran"
-        if answer.route == STREAM and not WHOLE_STREAM.startswith(answer.body):
-            yield f"{answer.request} lacks an event or has one twice: {answer.body!r:.200}"
-        if answer.route == STREAM and answer.is_whole and answer.body != WHOLE_STREAM:
-            yield f"{answer.request} ended as whole before its last event"
-
-
-@promise("what was acknowledged is never older")
-def _look_for_older(journal: RunJournal, runs: Sequence[TargetRun]) -> Iterator[str]:
-    for read in journal.read_back:
-        if read.answered < read.acknowledged:
-            yield f"version {read.answered} was read after {read.acknowledged} was acknowledged"
-
-
-@promise("a request that ends targets is kept from them")
-def _look_for_ends(journal: RunJournal, runs: Sequence[TargetRun]) -> Iterator[str]:
-    deadly = sorted(run.at for run in runs if run.is_deadly)
-    if len(deadly) <= ENDS_TO_KNOW:
+        if response.request not in ran:
+            yield f"{response.request} was answered but never ran"
+        if response.route == STREAM_ROUTE and not COMPLETE_STREAM.startswith(response.body):
+            yield f"{response.request} has missing or duplicate events: {response.body!r:.200}"
+        if (
+            response.route == STREAM_ROUTE
+            and response.is_complete
+            and response.body != COMPLETE_STREAM
+        ):
+            yield f"{response.request} ended normally before its last event"
+
+
+@guarantee("a read returns no older version than the acknowledged one")
+def _check_version_reads(observations: Observations, runs: Sequence[TargetRun]) -> Iterator[str]:
+    for read in observations.version_reads:
+        if read.returned < read.acknowledged:
+            yield f"version {read.returned} was read after {read.acknowledged} was acknowledged"
+
+
+@guarantee("a request that crashes targets is quarantined")
+def _check_quarantine(observations: Observations, runs: Sequence[TargetRun]) -> Iterator[str]:
+    exit_times = sorted(run.at for run in runs if run.is_crash)
+    if len(exit_times) <= EXITS_TO_QUARANTINE:
         return
-    known_at = deadly[ENDS_TO_KNOW - 1] + SETTLED_SECONDS
-    disturbed = sorted(disturbance.at for disturbance in journal.disturbances)
-    late = [at for at in deadly if at > known_at and _is_settled(at, disturbed)]
-    if len(late) > ENDS_BEYOND:
-        yield f"{len(late)} more targets ended under one request, {len(deadly)} in all"
+    known_at = exit_times[EXITS_TO_QUARANTINE - 1] + PROPAGATION_SECONDS
+    fault_times = sorted(event.at for event in observations.fault_events)
+    late = [at for at in exit_times if at > known_at and _is_settled(at, fault_times)]
+    if len(late) > MAX_FURTHER_EXITS:
+        yield f"{len(late)} more targets exited on one request, {len(exit_times)} in all"
 
 
-def _is_settled(at: float, disturbed: Sequence[float]) -> bool:
-    """Tell whether no fault began or ended for a while before a moment."""
-    index = bisect_left(disturbed, at)
-    return index == 0 or at - disturbed[index - 1] > SETTLED_SECONDS
+def _is_settled(at: float, fault_times: Sequence[float]) -> bool:
+    """Return whether no fault began or ended during the propagation time before a moment."""
+    index = bisect_left(fault_times, at)
+    return index == 0 or at - fault_times[index - 1] > PROPAGATION_SECONDS
 
 
-@promise("a target that asks for rest, or leaves, gets nothing from that box")
-def _look_for_disregard(journal: RunJournal, runs: Sequence[TargetRun]) -> Iterator[str]:
+@guarantee("an entry sends nothing to a target that announced back-off or draining")
+def _check_announcements(observations: Observations, runs: Sequence[TargetRun]) -> Iterator[str]:
     pairs: dict[tuple[str, str], list[Arrival]] = {}
-    for arrival in journal.arrivals:
+    for arrival in observations.arrivals:
         pairs.setdefault((arrival.entry, arrival.target), []).append(arrival)
     for (entry, target), arrivals in pairs.items():
-        disturbed = sorted(
-            disturbance.at
-            for disturbance in journal.disturbances
-            if disturbance.process == entry or not entry
+        fault_times = sorted(
+            event.at for event in observations.fault_events if event.process == entry or not entry
         )
-        most = MOST_AFTER_WORD if entry else MOST_AFTER_WORD_OF_POOLS
-        counts = [_count_disregards(word, arrivals, disturbed) for word in arrivals]
-        if max(counts) > most:
-            yield f"{entry or 'owners of a pool'}: {max(counts)} to {target} after its word"
+        limit = MAX_LATE_REQUESTS if entry else MAX_LATE_POOL_CALLS
+        counts = [_count_ignoring(announced, arrivals, fault_times) for announced in arrivals]
+        if max(counts) > limit:
+            yield f"{entry or 'owners of a pool'}: {max(counts)} to {target} after it announced"
 
 
-def _count_disregards(
-    word: Arrival, arrivals: Sequence[Arrival], disturbed: Sequence[float]
+def _count_ignoring(
+    announced: Arrival, arrivals: Sequence[Arrival], fault_times: Sequence[float]
 ) -> int:
-    """Return the requests that came after a word of a target, though their sender had heard it."""
+    """Return the number of requests whose sender ignored an announcement that it had received."""
     return sum(
-        _disregards(later, word, disturbed) and not _may_be_of_another(later, word, arrivals)
+        _ignores(later, announced, fault_times)
+        and not _may_be_of_another(later, announced, arrivals)
         for later in arrivals
     )
 
 
-def _may_be_of_another(later: Arrival, word: Arrival, arrivals: Sequence[Arrival]) -> bool:
-    """Tell whether a call to a pool may come from an entry that has waited its time.
+def _may_be_of_another(later: Arrival, announced: Arrival, arrivals: Sequence[Arrival]) -> bool:
+    """Return whether a call to a pool may come from an entry whose back-off has passed.
 
-    Calls do not name who sent them.  Where another call was told the same shortly before, its
-    sender is free again while the sender of this one is not.
+    Calls to pools do not say which entry sent them.  If another call received the same
+    announcement shortly before, its sender may send again while the sender of this one may not.
     """
     if later.entry:
         return False
     return any(
-        other.rest > 0
-        and word.at - word.rest < other.at < word.at < other.at + other.rest <= later.at
+        other.backoff_seconds > 0
+        and announced.at - announced.backoff_seconds
+        < other.at
+        < announced.at
+        < other.at + other.backoff_seconds
+        <= later.at
         for other in arrivals
     )
 
 
-def _disregards(later: Arrival, word: Arrival, disturbed: Sequence[float]) -> bool:
-    """Tell whether a request came though its sender had heard that the target wants none.
+def _ignores(later: Arrival, announced: Arrival, fault_times: Sequence[float]) -> bool:
+    """Return whether a request came though its sender had received the announcement.
 
-    A fault in between may have ended the sender, and what it knew.
+    A fault in between may have restarted the sender, which then has lost the announcement.
     """
-    begins, ends = word.at + ON_THE_WAY_SECONDS, word.at + word.rest
-    if word.is_leaving:
-        begins, ends = word.at + LEAVING_ON_THE_WAY_SECONDS, float("inf")
+    begins, ends = announced.at + IN_FLIGHT_SECONDS, announced.at + announced.backoff_seconds
+    if announced.is_draining:
+        begins, ends = announced.at + DRAINING_IN_FLIGHT_SECONDS, float("inf")
     if not begins < later.at < ends:
         return False
-    return bisect_left(disturbed, word.at) == bisect_left(disturbed, later.at)
+    return bisect_left(fault_times, announced.at) == bisect_left(fault_times, later.at)
 
 
-@promise("processes end only when they are ended")
-def _look_for_own_ends(journal: RunJournal, runs: Sequence[TargetRun]) -> Iterator[str]:
-    yield from journal.own_ends
+@guarantee("control replicas and entries do not exit by themselves")
+def _check_exits(observations: Observations, runs: Sequence[TargetRun]) -> Iterator[str]:
+    yield from observations.unexpected_exits
--- a/packages/damsonlane_bench/src/damsonlane_bench/soak/_evaluation.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/soak/_evaluation.py
@@ -1,18 +1,18 @@
-"""Which promises a run broke, by what callers, targets and the operator saw."""
+"""Evaluation of a soak run against all guarantees."""
 
 from collections.abc import Sequence
 
-# Each module registers the promises that it looks for.
+# Imported for their side effect: each module registers its checks.
 from damsonlane_bench.soak import _checks as _checks
 from damsonlane_bench.soak import _rate_limit_check as _rate_limit_check
-from damsonlane_bench.soak._guarantees import PROMISES, Breach
-from damsonlane_bench.soak._observations import RunJournal, TargetRun
+from damsonlane_bench.soak._guarantees import GUARANTEES, Violation
+from damsonlane_bench.soak._observations import Observations, TargetRun
 
 
-def judge(journal: RunJournal, runs: Sequence[TargetRun]) -> tuple[Breach, ...]:
-    """Return every promise that was broken."""
+def find_violations(observations: Observations, runs: Sequence[TargetRun]) -> tuple[Violation, ...]:
+    """Return all violations of all guarantees."""
     return tuple(
-        Breach(promise=name, seen=seen)
-        for name, look in PROMISES.items()
-        for seen in look(journal, runs)
+        Violation(guarantee=name, detail=detail)
+        for name, check in GUARANTEES.items()
+        for detail in check(observations, runs)
     )
--- a/packages/damsonlane_bench/src/damsonlane_bench/soak/_fleet_size.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/soak/_fleet_size.py
@@ -1,4 +1,4 @@
-"""How many processes a run of the soak has."""
+"""Number of processes in the fleet of a soak run."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -19,15 +19,15 @@
 
     #: Name of its process.
     name: str
-    #: Its service.
+    #: Name of its service.
     service: str
-    #: What it does.
+    #: Kind of stand-in.
     kind: Kind
 
 
 @dataclass(frozen=True, kw_only=True)
 class FleetSize:
-    """How many processes of each kind."""
+    """Number of processes by role."""
 
     #: Control replicas.
     controls: int = 3
@@ -45,7 +45,7 @@
         return tuple(f"entry-{number}" for number in range(1, self.entries + 1))
 
     def list_targets(self) -> tuple[Target, ...]:
-        """Return the targets."""
+        """Return the targets of all services."""
         return tuple(
             Target(name=f"{service}-{number}", service=service, kind=kind)
             for service, kind in SERVICES
--- a/packages/damsonlane_bench/src/damsonlane_bench/soak/_guarantees.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/soak/_guarantees.py
@@ -1,34 +1,34 @@
-"""The promises that a run may break, each with what looks for it."""
+"""Registry of the guarantees that a soak run checks."""
 
 from collections.abc import Callable, Iterator, Sequence
 from dataclasses import dataclass
 from typing import Final
 
-from damsonlane_bench.soak._observations import RunJournal, TargetRun
+from damsonlane_bench.soak._observations import Observations, TargetRun
 
 
 @dataclass(frozen=True, kw_only=True)
-class Breach:
-    """A promise that was broken."""
+class Violation:
+    """A guarantee that did not hold."""
 
-    #: Name of the promise.
-    promise: str
-    #: What was seen.
-    seen: str
+    #: Name of the guarantee.
+    guarantee: str
+    #: What was observed.
+    detail: str
 
 
-#: Looks for breaches of one promise.
-Look = Callable[[RunJournal, Sequence[TargetRun]], Iterator[str]]
+#: Yields a description of each violation of one guarantee.
+Check = Callable[[Observations, Sequence[TargetRun]], Iterator[str]]
 
-#: All promises by name.
-PROMISES: Final[dict[str, Look]] = {}
+#: Checks by the name of their guarantee.
+GUARANTEES: Final[dict[str, Check]] = {}
 
 
-def promise(name: str) -> Callable[[Look], Look]:
-    """Register what looks for breaches of a promise."""
+def guarantee(name: str) -> Callable[[Check], Check]:
+    """Register the decorated function as the check of a guarantee."""
 
-    def register(look: Look) -> Look:
-        PROMISES[name] = look
-        return look
+    def register(check: Check) -> Check:
+        GUARANTEES[name] = check
+        return check
 
     return register
--- a/packages/damsonlane_bench/src/damsonlane_bench/soak/_observations.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/soak/_observations.py
@@ -1,4 +1,4 @@
-"""What callers, targets and the operator saw in one run."""
+"""Observations of callers, targets and the operator during one soak run."""
 
 import json
 import threading
@@ -10,148 +10,148 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Answer:
-    """What a caller got."""
+class CallerResponse:
+    """Response that a caller received."""
 
     #: Id of the request.
     request: str
-    #: Its route.
+    #: Route of the request.
     route: str
-    #: The status; 0 where none came.
+    #: HTTP status; 0 if no response arrived.
     status: int
-    #: Whether the answer ended as its head said.
-    is_whole: bool
-    #: Its body.
+    #: Whether the body arrived completely by the framing that its head announced.
+    is_complete: bool
+    #: Body, as far as it arrived.
     body: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class TargetRun:
-    """A request that a target began to run."""
+    """Request that a target began to run."""
 
     #: Id of the request.
     request: str
-    #: Whether the target did not survive it.
-    is_deadly: bool
-    #: When, in seconds since 1970.
+    #: Whether the target exits while running it.
+    is_crash: bool
+    #: Begin of the run, in seconds since the epoch.
     at: float
 
 
 @dataclass(frozen=True, kw_only=True)
 class Arrival:
-    """A request that came to a target, and what its sender was told of the target."""
+    """Request that arrived at a target, and what the target announced in its response."""
 
-    #: Id of the request; empty for calls to pools, which belong to several.
+    #: Id of the request; empty for calls to pools, which serve several requests.
     request: str
-    #: Name of the target, another one after each start.
+    #: Name of the target, a new one for each incarnation.
     target: str
-    #: Seconds of rest that it asked for; 0 for none.
-    rest: float
-    #: Whether it said that it leaves.
-    is_leaving: bool
-    #: When, in seconds since 1970.
+    #: Back-off that the target requested, in seconds; 0 for none.
+    backoff_seconds: float
+    #: Whether the target announced that it is draining.
+    is_draining: bool
+    #: Time of arrival, in seconds since the epoch.
     at: float
 
     @property
     def entry(self) -> str:
-        """Entry that sent it, which callers name in their ids; empty where it is not known."""
+        """Entry that sent the request, as its id says; empty if unknown."""
         return self.request.partition("@")[2]
 
 
 @dataclass(frozen=True, kw_only=True)
-class Naming:
-    """What the head of an answer said of its target's rate limit."""
+class RateLimitAnnouncement:
+    """Rate limit that the head of a response announced."""
 
     #: Id of the request; empty for calls to pools.
     request: str
-    #: Name of the target, another one after each start.
+    #: Name of the target, a new one for each incarnation.
     target: str
-    #: Requests a second that it named; None for no limit.
+    #: Rate limit in requests per second; None if there was none or its value was invalid.
     rate: float | None
-    #: When, in seconds since 1970.
+    #: Time of the response, in seconds since the epoch.
     at: float
 
     @property
     def entry(self) -> str:
-        """Entry that was told; empty where it is not known."""
+        """Entry that received the response; empty if unknown."""
         return self.request.partition("@")[2]
 
 
 @dataclass(frozen=True, kw_only=True)
-class ReadBack:
-    """A version that control answered with."""
+class VersionRead:
+    """Version of the routing document that a control replica returned."""
 
-    #: The version that was acknowledged before the question.
+    #: Newest version that was acknowledged before the read.
     acknowledged: int
-    #: The version in the answer.
-    answered: int
+    #: Version that the read returned.
+    returned: int
 
 
 @dataclass(frozen=True, kw_only=True)
-class Disturbance:
-    """A fault that began or ended."""
+class FaultEvent:
+    """Begin or end of a fault at one process."""
 
-    #: Name of the process that it happened to.
+    #: Name of the process.
     process: str
-    #: When, in seconds since 1970.
+    #: Time of the event, in seconds since the epoch.
     at: float
 
 
-class RunJournal:
-    """Collects what is seen, from many threads."""
+class Observations:
+    """Collects the observations of one run; its methods are thread-safe."""
 
     def __init__(self) -> None:
         self._lock: Final = threading.Lock()
-        #: Answers of all callers.
-        self.answers: Final[list[Answer]] = []
-        #: What the operator read back.
-        self.read_back: Final[list[ReadBack]] = []
-        #: Faults that began or ended.
-        self.disturbances: Final[list[Disturbance]] = []
-        #: Processes that ended though nobody ended them.
-        self.own_ends: Final[list[str]] = []
-        #: Requests that came to targets; read from their logs once the run is over.
+        #: Responses that callers received.
+        self.responses: Final[list[CallerResponse]] = []
+        #: Versions that the operator read.
+        self.version_reads: Final[list[VersionRead]] = []
+        #: Begins and ends of faults.
+        self.fault_events: Final[list[FaultEvent]] = []
+        #: Descriptions of control replicas and entries that exited although no fault stopped them.
+        self.unexpected_exits: Final[list[str]] = []
+        #: Requests that arrived at targets; read from their logs after the run.
         self.arrivals: Final[list[Arrival]] = []
-        #: What targets named as their rate limits; read from their logs as well.
-        self.namings: Final[list[Naming]] = []
+        #: Rate limits that targets announced; read from their logs after the run.
+        self.rate_limits: Final[list[RateLimitAnnouncement]] = []
 
-    def note_answer(self, answer: Answer) -> None:
-        """Note what a caller got."""
+    def record_response(self, response: CallerResponse) -> None:
+        """Record a response that a caller received."""
         with self._lock:
-            self.answers.append(answer)
+            self.responses.append(response)
 
-    def note_read_back(self, read: ReadBack) -> None:
-        """Note what the operator read."""
+    def record_version_read(self, version_read: VersionRead) -> None:
+        """Record a version that the operator read."""
         with self._lock:
-            self.read_back.append(read)
+            self.version_reads.append(version_read)
 
-    def note_disturbance(self, *processes: str) -> None:
-        """Note that a fault begins or ends now at some processes."""
+    def record_fault_events(self, *processes: str) -> None:
+        """Record that a fault begins or ends now at some processes."""
         now = time.time()
         with self._lock:
-            self.disturbances.extend(Disturbance(process=name, at=now) for name in processes)
+            self.fault_events.extend(FaultEvent(process=name, at=now) for name in processes)
 
 
 def read_arrivals(logs: Iterable[Path]) -> Iterator[Arrival]:
-    """Yield what came to targets, from their logs."""
+    """Yield the requests that arrived at targets, from the logs of the targets."""
     for line in _read_lines(logs):
         if line.startswith('{"came"'):
             fields = json.loads(line)
             yield Arrival(
                 request=str(fields["came"]),
                 target=str(fields["target"]),
-                rest=float(fields["rest"]),
-                is_leaving=bool(fields["leaves"]),
+                backoff_seconds=float(fields["rest"]),
+                is_draining=bool(fields["leaves"]),
                 at=float(fields["at"]),
             )
 
 
-def read_namings(logs: Iterable[Path]) -> Iterator[Naming]:
-    """Yield what targets named as their rate limits, from their logs."""
+def read_rate_limits(logs: Iterable[Path]) -> Iterator[RateLimitAnnouncement]:
+    """Yield the rate limits that targets announced, from the logs of the targets."""
     for line in _read_lines(logs):
         if line.startswith('{"named"'):
             fields = json.loads(line)
-            yield Naming(
+            yield RateLimitAnnouncement(
                 request=str(fields["named"]),
                 target=str(fields["target"]),
                 rate=fields["rate"],
@@ -160,13 +160,13 @@
 
 
 def read_target_runs(logs: Iterable[Path]) -> Iterator[TargetRun]:
-    """Yield what targets ran, from their logs."""
+    """Yield the requests that targets began to run, from the logs of the targets."""
     for line in _read_lines(logs):
         if line.startswith('{"ran"'):
             fields = json.loads(line)
             yield TargetRun(
                 request=str(fields["ran"]),
-                is_deadly=bool(fields["deadly"]),
+                is_crash=bool(fields["deadly"]),
                 at=float(fields["at"]),
             )
 
--- a/packages/damsonlane_bench/src/damsonlane_bench/soak/_plan.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/soak/_plan.py
@@ -1,4 +1,4 @@
-"""What happens in one run of the soak, drawn from a seed before the run begins."""
+"""Plan of one soak run, drawn from a seed before the run begins."""
 
 import random
 from collections.abc import Callable, Mapping
@@ -7,33 +7,33 @@
 
 from damsonlane_bench.soak._fleet_size import FleetSize
 
-#: Draws the box of a fault; empty for all boxes.
-DrawBox = Callable[[random.Random, "Boxes"], str]
+#: Draws the name of the process that a fault affects; empty for all boxes.
+DrawProcess = Callable[[random.Random, "Boxes"], str]
 
-#: Shortest and longest time for which a fault lasts, in seconds: some are over before anybody
-#: notices (heartbeats come every half second), others outlast leases and elections.
-_SHORTEST: Final = 0.3
-_LONGEST: Final = 3.0
-#: Seconds between two faults on average; many overlap then.
-_MEAN_GAP: Final = 1.2
-#: Seconds after the last fault in which the fleet must come to rest.
-REST_SECONDS: Final = 4.0
+#: Shortest and longest duration of a fault, in seconds: from less than a heartbeat interval to more
+#: than a lease or an election lasts.
+_MIN_FAULT_SECONDS: Final = 0.3
+_MAX_FAULT_SECONDS: Final = 3.0
+#: Mean time between the begins of two faults, in seconds; short enough that faults overlap.
+_MEAN_GAP_SECONDS: Final = 1.2
+#: Seconds at the end of a run in which no fault begins.
+FAULT_FREE_SECONDS: Final = 4.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class Boxes:
-    """What faults may happen to."""
+    """Names of the processes that faults may affect."""
 
-    #: Names of the control replicas.
+    #: Control replicas.
     controls: tuple[str, ...]
-    #: Names of the entries.
+    #: Entries.
     entries: tuple[str, ...]
-    #: Names of the targets.
+    #: Targets.
     targets: tuple[str, ...]
 
     @classmethod
-    def of(cls, size: FleetSize) -> "Boxes":
-        """Return the processes of a fleet."""
+    def from_size(cls, size: FleetSize) -> "Boxes":
+        """Return the processes of a fleet of some size."""
         return cls(
             controls=size.list_controls(),
             entries=size.list_entries(),
@@ -43,49 +43,54 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Fault:
-    """One fault."""
+    """One fault, or one announcement that a target makes."""
 
-    #: When it begins, in seconds from the start of the run.
+    #: Begin, in seconds from the start of the run.
     at: float
-    #: What happens; a name in `FAULT_KINDS`.
+    #: Kind; a name in `PROCESS_FAULT_KINDS`, `ANNOUNCEMENT_KINDS` or `RATE_LIMIT_KINDS`.
     kind: str
-    #: To which process; empty for all boxes.
+    #: Name of the affected process; empty for all boxes.
     process: str
-    #: How long until it is undone.
+    #: Duration, in seconds.
     seconds: float
 
 
 @dataclass(frozen=True, kw_only=True)
 class Plan:
-    """One run."""
+    """Faults, length and fleet of one run."""
 
-    #: The seed that it was drawn from.
+    #: Seed that the plan was drawn from.
     seed: int
-    #: How long callers send, in seconds.
+    #: Length of the run, in seconds.
     seconds: float
-    #: The faults, in order.
+    #: Faults, sorted by their begin.
     faults: tuple[Fault, ...]
-    #: The fleet.
+    #: Size of the fleet.
     size: FleetSize = FleetSize()
 
     def with_faults(self, faults: tuple[Fault, ...]) -> "Plan":
-        """Return the plan with other faults, to find those that matter."""
+        """Return the plan with other faults, to find out which of them cause a violation."""
         return replace(self, faults=faults)
 
 
-#: How the process of each kind of fault is drawn.
-FAULT_KINDS: Final[dict[str, DrawBox]] = {}
-#: The same for what targets say of themselves.  It is drawn apart, so that a seed that showed a
-#: fault before there were these kinds still has the faults that it had then.
-WORD_KINDS: Final[dict[str, DrawBox]] = {}
-#: The same for rate limits, which came later still.
-LIMIT_KINDS: Final[dict[str, DrawBox]] = {}
+# Plan files store the names of the kinds, and a seed draws from them in sorted order.  Each of the
+# three groups is drawn from a generator of its own, so that a new kind in one of them does not
+# change what a seed draws from the others.
 
+#: Faults of processes: how the process of each kind is drawn.
+PROCESS_FAULT_KINDS: Final[dict[str, DrawProcess]] = {}
+#: The same for announcements of back-off and draining by targets.
+ANNOUNCEMENT_KINDS: Final[dict[str, DrawProcess]] = {}
+#: The same for announcements of rate limits by targets.
+RATE_LIMIT_KINDS: Final[dict[str, DrawProcess]] = {}
 
-def fault_kind(name: str, kinds: dict[str, DrawBox] = FAULT_KINDS) -> Callable[[DrawBox], DrawBox]:
-    """Register how the process of a kind of fault is drawn."""
 
-    def register(draw: DrawBox) -> DrawBox:
+def fault_kind(
+    name: str, kinds: dict[str, DrawProcess] = PROCESS_FAULT_KINDS
+) -> Callable[[DrawProcess], DrawProcess]:
+    """Register the decorated function as the one that draws the process of a kind of fault."""
+
+    def register(draw: DrawProcess) -> DrawProcess:
         kinds[name] = draw
         return draw
 
@@ -93,60 +98,60 @@
 
 
 @fault_kind("kill")
-def _draw_any(randomness: random.Random, boxes: Boxes) -> str:
+def _draw_killed(randomness: random.Random, boxes: Boxes) -> str:
     return randomness.choice((*boxes.controls, *boxes.entries, *boxes.targets))
 
 
 @fault_kind("freeze")
-def _draw_frozen(randomness: random.Random, boxes: Boxes) -> str:
+def _draw_suspended(randomness: random.Random, boxes: Boxes) -> str:
     return randomness.choice((*boxes.controls, *boxes.entries, *boxes.targets))
 
 
 @fault_kind("hang-up")
-def _draw_box(randomness: random.Random, boxes: Boxes) -> str:
+def _draw_signalled(randomness: random.Random, boxes: Boxes) -> str:
     return randomness.choice((*boxes.controls, *boxes.entries))
 
 
 @fault_kind("stop")
-def _draw_entry(randomness: random.Random, boxes: Boxes) -> str:
+def _draw_stopped(randomness: random.Random, boxes: Boxes) -> str:
     return randomness.choice(boxes.entries)
 
 
 @fault_kind("power")
-def _draw_all(randomness: random.Random, boxes: Boxes) -> str:
+def _draw_all_boxes(randomness: random.Random, boxes: Boxes) -> str:
     return ""
 
 
-@fault_kind("rest", WORD_KINDS)
-def _draw_target(randomness: random.Random, boxes: Boxes) -> str:
+@fault_kind("rest", ANNOUNCEMENT_KINDS)
+def _draw_backing_off(randomness: random.Random, boxes: Boxes) -> str:
     return randomness.choice(boxes.targets)
 
 
-@fault_kind("rest of all", WORD_KINDS)
-def _draw_service(randomness: random.Random, boxes: Boxes) -> str:
-    """Return the first target of a service, by which its fellows are found."""
+@fault_kind("rest of all", ANNOUNCEMENT_KINDS)
+def _draw_backing_off_service(randomness: random.Random, boxes: Boxes) -> str:
+    """Return one target; all targets of its service are affected."""
     return randomness.choice(boxes.targets)
 
 
-@fault_kind("leaving word", WORD_KINDS)
-def _draw_leaving(randomness: random.Random, boxes: Boxes) -> str:
+@fault_kind("leaving word", ANNOUNCEMENT_KINDS)
+def _draw_draining(randomness: random.Random, boxes: Boxes) -> str:
     return randomness.choice(boxes.targets)
 
 
-@fault_kind("limit", LIMIT_KINDS)
-def _draw_limited(randomness: random.Random, boxes: Boxes) -> str:
+@fault_kind("limit", RATE_LIMIT_KINDS)
+def _draw_rate_limited(randomness: random.Random, boxes: Boxes) -> str:
     return randomness.choice(boxes.targets)
 
 
-@fault_kind("limit of all", LIMIT_KINDS)
-def _draw_limited_service(randomness: random.Random, boxes: Boxes) -> str:
-    """Return the first target of a service, by which its fellows are found."""
+@fault_kind("limit of all", RATE_LIMIT_KINDS)
+def _draw_rate_limited_service(randomness: random.Random, boxes: Boxes) -> str:
+    """Return one target; all targets of its service are affected."""
     return randomness.choice(boxes.targets)
 
 
-@fault_kind("lasting limit", LIMIT_KINDS)
-def _draw_lasting(randomness: random.Random, boxes: Boxes) -> str:
-    """Return a target whose limit holds until another one ends it."""
+@fault_kind("lasting limit", RATE_LIMIT_KINDS)
+def _draw_lasting_rate_limit(randomness: random.Random, boxes: Boxes) -> str:
+    """Return a target whose rate limit stays until another announcement replaces or ends it."""
     return randomness.choice(boxes.targets)
 
 
@@ -154,34 +159,34 @@
     """Return the plan of a seed.
 
     Args:
-        seed: the same one gives the same plan.
-        seconds: how long callers send.
-        size: the fleet; the smallest one unless told otherwise.
+        seed: equal seeds give equal plans.
+        seconds: length of the run.
+        size: size of the fleet; the default size if None.
     """
     fleet = size or FleetSize()
-    boxes = Boxes.of(fleet)
-    faults = _draw_faults(random.Random(seed), seconds, boxes, FAULT_KINDS)
-    words = _draw_faults(random.Random(f"words {seed}"), seconds, boxes, WORD_KINDS)
-    limits = _draw_faults(random.Random(f"limits {seed}"), seconds, boxes, LIMIT_KINDS)
-    ordered = sorted((*faults, *words, *limits), key=lambda fault: fault.at)
+    boxes = Boxes.from_size(fleet)
+    faults = _draw_faults(random.Random(seed), seconds, boxes, PROCESS_FAULT_KINDS)
+    announcements = _draw_faults(random.Random(f"words {seed}"), seconds, boxes, ANNOUNCEMENT_KINDS)
+    rate_limits = _draw_faults(random.Random(f"limits {seed}"), seconds, boxes, RATE_LIMIT_KINDS)
+    ordered = sorted((*faults, *announcements, *rate_limits), key=lambda fault: fault.at)
     return Plan(seed=seed, seconds=seconds, faults=tuple(ordered), size=fleet)
 
 
 def _draw_faults(
-    randomness: random.Random, seconds: float, boxes: Boxes, kinds: Mapping[str, DrawBox]
+    randomness: random.Random, seconds: float, boxes: Boxes, kinds: Mapping[str, DrawProcess]
 ) -> list[Fault]:
-    """Return faults of some kinds, one after the other."""
+    """Return faults of some kinds with exponentially distributed gaps between their begins."""
     faults: list[Fault] = []
-    at = randomness.expovariate(1 / _MEAN_GAP)
-    while at < seconds - REST_SECONDS:
+    at = randomness.expovariate(1 / _MEAN_GAP_SECONDS)
+    while at < seconds - FAULT_FREE_SECONDS:
         kind = randomness.choice(sorted(kinds))
         faults.append(
             Fault(
                 at=round(at, 2),
                 kind=kind,
                 process=kinds[kind](randomness, boxes),
-                seconds=round(randomness.uniform(_SHORTEST, _LONGEST), 2),
+                seconds=round(randomness.uniform(_MIN_FAULT_SECONDS, _MAX_FAULT_SECONDS), 2),
             )
         )
-        at += randomness.expovariate(1 / _MEAN_GAP)
+        at += randomness.expovariate(1 / _MEAN_GAP_SECONDS)
     return faults
--- a/packages/damsonlane_bench/src/damsonlane_bench/soak/_rate_limit_check.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/soak/_rate_limit_check.py
@@ -1,115 +1,132 @@
-"""Whether targets got more than the rate limits that they named, added up over all entries."""
+"""Check that the requests of all entries together stay within the rate limits of targets."""
 
 from bisect import bisect_left, bisect_right
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
 from typing import Final
 
-from damsonlane_bench.soak._guarantees import promise
-from damsonlane_bench.soak._observations import Arrival, Naming, RunJournal, TargetRun
+from damsonlane_bench.soak._guarantees import guarantee
+from damsonlane_bench.soak._observations import (
+    Arrival,
+    Observations,
+    RateLimitAnnouncement,
+    TargetRun,
+)
 
-#: Seconds over which requests are counted, how often a rate fits into them, and how many more.
+#: Length of the window in which requests are counted, in seconds.
 WINDOW_SECONDS: Final = 4.0
-TIMES: Final = 1.5
-MORE: Final = 5.0
-#: Seconds after the first word of a target from which its limit holds for all.
-KNOWN_SECONDS: Final = 3.0
-#: Seconds after an entry was told from which its requests count.
-TOLD_SECONDS: Final = 0.5
+#: A window may hold `RATE_FACTOR` times what the rate limit allows, and `EXTRA_REQUESTS` more.
+RATE_FACTOR: Final = 1.5
+EXTRA_REQUESTS: Final = 5.0
+#: Seconds after a target's first announcement from which its rate limit is checked.
+PROPAGATION_SECONDS: Final = 3.0
+#: Seconds after an entry received an announcement from which its requests count.
+IN_FLIGHT_SECONDS: Final = 0.5
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Told:
-    """When an entry was told of a limit, and when something happened to it."""
+class _EntryKnowledge:
+    """Times at which an entry received announcements, and may have lost them by a fault."""
 
-    #: Heads by which it was told, in order.
+    #: Times of responses that announced a rate limit to the entry, sorted.
     at: Sequence[float]
-    #: Faults that began or ended there, in order.
-    disturbed: Sequence[float]
+    #: Begins and ends of faults at the entry, sorted.
+    fault_times: Sequence[float]
 
-    def knew(self, at: float) -> bool:
-        """Tell whether the entry had been told half a second before, with no fault since."""
-        index = bisect_right(self.at, at - TOLD_SECONDS)
+    def knew_limit(self, at: float) -> bool:
+        """Return whether the entry had received an announcement, with no fault since.
+
+        An announcement counts once `IN_FLIGHT_SECONDS` have passed.
+        """
+        index = bisect_right(self.at, at - IN_FLIGHT_SECONDS)
         if index == 0:
             return False
         since = self.at[index - 1]
-        return bisect_left(self.disturbed, since) == bisect_left(self.disturbed, at)
-
-
-@promise("a target gets no more than it names from all entries together")
-def _look_for_excess(journal: RunJournal, runs: Sequence[TargetRun]) -> Iterator[str]:
-    for target in {naming.target for naming in journal.namings}:
-        namings = [naming for naming in journal.namings if naming.target == target]
-        namings.sort(key=lambda naming: naming.at)
-        arrivals = [arrival for arrival in journal.arrivals if arrival.target == target]
-        counted = [arrival.at for arrival in arrivals if _is_counted(arrival, namings, journal)]
-        stops = _list_stops(target, journal)
-        worst = _find_worst(sorted(counted), namings, stops)
+        return bisect_left(self.fault_times, since) == bisect_left(self.fault_times, at)
+
+
+@guarantee("all entries together stay within the rate limit of a target")
+def _check_rate_limits(observations: Observations, runs: Sequence[TargetRun]) -> Iterator[str]:
+    for target in {limit.target for limit in observations.rate_limits}:
+        rate_limits = [limit for limit in observations.rate_limits if limit.target == target]
+        rate_limits.sort(key=lambda limit: limit.at)
+        arrivals = [arrival for arrival in observations.arrivals if arrival.target == target]
+        counted = [
+            arrival.at for arrival in arrivals if _is_counted(arrival, rate_limits, observations)
+        ]
+        fault_times = _list_service_fault_times(target, observations)
+        worst = _find_worst_window(sorted(counted), rate_limits, fault_times)
         if worst:
             yield f"{target}: {worst}"
 
 
-def _is_counted(arrival: Arrival, namings: Sequence[Naming], journal: RunJournal) -> bool:
-    """Tell whether a request came from an entry that had been told.
+def _is_counted(
+    arrival: Arrival, limits: Sequence[RateLimitAnnouncement], observations: Observations
+) -> bool:
+    """Return whether a request came from an entry that had received an announcement.
 
-    Calls to pools do not name who sent them: there any entry may have been told, and any fault
-    of an entry may have ended what it knew.
+    Calls to pools do not say which entry sent them: any entry may have received the announcement,
+    and a fault at any process may have made its sender lose it.
     """
-    told = _Told(
+    knowledge = _EntryKnowledge(
         at=[
-            naming.at
-            for naming in namings
-            if naming.entry == arrival.entry and naming.rate is not None
+            limit.at for limit in limits if limit.entry == arrival.entry and limit.rate is not None
         ],
-        disturbed=sorted(
-            disturbance.at
-            for disturbance in journal.disturbances
-            if disturbance.process == arrival.entry or not arrival.entry
+        fault_times=sorted(
+            event.at
+            for event in observations.fault_events
+            if event.process == arrival.entry or not arrival.entry
         ),
     )
-    return told.knew(arrival.at)
+    return knowledge.knew_limit(arrival.at)
 
 
-def _list_stops(target: str, journal: RunJournal) -> Sequence[float]:
-    """Return when faults began or ended at targets of the same service.
+def _list_service_fault_times(target: str, observations: Observations) -> Sequence[float]:
+    """Return when faults began or ended at targets of the same service, sorted.
 
-    What was sent to one that is frozen comes to it all at once when it goes on.
+    Requests that were sent to a suspended target all arrive at once when it resumes.
     """
     service = target.rpartition("-")[0]
     return sorted(
-        disturbance.at
-        for disturbance in journal.disturbances
-        if disturbance.process.rpartition("-")[0] == service
+        event.at
+        for event in observations.fault_events
+        if event.process.rpartition("-")[0] == service
     )
 
 
-def _find_worst(counted: Sequence[float], namings: Sequence[Naming], stops: Sequence[float]) -> str:
-    """Return the worst of the four seconds in which too much came; empty where there are none."""
+def _find_worst_window(
+    counted: Sequence[float], limits: Sequence[RateLimitAnnouncement], fault_times: Sequence[float]
+) -> str:
+    """Return a description of the window that exceeds its limit most; empty if none does."""
     worst = ""
     most = 0.0
     for begin in counted:
-        rate = _find_rate(namings, begin)
-        is_stopped = bisect_left(stops, begin) != bisect_left(stops, begin + WINDOW_SECONDS)
-        if rate is None or is_stopped:
+        rate = _find_rate(limits, begin)
+        has_fault = bisect_left(fault_times, begin) != bisect_left(
+            fault_times, begin + WINDOW_SECONDS
+        )
+        if rate is None or has_fault:
             continue
         count = bisect_left(counted, begin + WINDOW_SECONDS) - bisect_left(counted, begin)
-        allowed = TIMES * rate * WINDOW_SECONDS + MORE
+        allowed = RATE_FACTOR * rate * WINDOW_SECONDS + EXTRA_REQUESTS
         if count - allowed > most:
             most = count - allowed
-            worst = f"{count} in four seconds with a limit of {rate} a second, {allowed:g} allowed"
+            worst = (
+                f"{count} requests in 4 s at a rate limit of {rate} per second, {allowed:g} allowed"
+            )
     return worst
 
 
-def _find_rate(namings: Sequence[Naming], begin: float) -> float | None:
-    """Return the highest rate that held in four seconds; None where at some time none did.
+def _find_rate(limits: Sequence[RateLimitAnnouncement], begin: float) -> float | None:
+    """Return the highest rate limit in force in a window; None if at some time there was none.
 
-    What was said last before them still held when they began.
+    The last announcement before the window is in force when the window begins.
     """
-    times = [naming.at for naming in namings]
-    limited = [naming for naming in namings if naming.rate is not None]
-    if not limited or begin < limited[0].at + KNOWN_SECONDS:
+    times = [limit.at for limit in limits]
+    limited = [limit for limit in limits if limit.rate is not None]
+    if not limited or begin < limited[0].at + PROPAGATION_SECONDS:
         return None
     first = max(0, bisect_right(times, begin) - 1)
-    said = [naming.rate for naming in namings[first : bisect_right(times, begin + WINDOW_SECONDS)]]
-    rates = [rate for rate in said if rate is not None]
-    return max(rates) if rates and len(rates) == len(said) else None
+    in_force = [limit.rate for limit in limits[first : bisect_right(times, begin + WINDOW_SECONDS)]]
+    rates = [rate for rate in in_force if rate is not None]
+    return max(rates) if rates and len(rates) == len(in_force) else None
--- a/packages/damsonlane_bench/src/damsonlane_bench/soak/_soak_run.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/soak/_soak_run.py
@@ -1,4 +1,4 @@
-"""Playing a plan: processes, faults, callers, and the verdict."""
+"""Execution of a soak plan on a fleet of real processes."""
 
 import signal
 import time
@@ -12,49 +12,50 @@
 from damsonlane_bench.registered import LEAVING_SIGNAL, LIMIT_END_SIGNAL, LIMIT_SIGNAL, REST_SIGNAL
 from damsonlane_bench.routes import RoutesFleet, make_document
 from damsonlane_bench.soak._callers import Caller, OperatorThread
-from damsonlane_bench.soak._evaluation import judge
-from damsonlane_bench.soak._guarantees import Breach
+from damsonlane_bench.soak._evaluation import find_violations
+from damsonlane_bench.soak._guarantees import Violation
 from damsonlane_bench.soak._observations import (
-    RunJournal,
+    Observations,
     read_arrivals,
-    read_namings,
+    read_rate_limits,
     read_target_runs,
 )
-from damsonlane_bench.soak._plan import LIMIT_KINDS, WORD_KINDS, Fault, Plan
+from damsonlane_bench.soak._plan import ANNOUNCEMENT_KINDS, RATE_LIMIT_KINDS, Fault, Plan
 
-#: Callers that send requests of all routes, and one more for each further entry.
-CALLERS: Final = 5
-#: Seconds after which the supervisor starts a target again that ended.
+#: Number of callers that draw from all routes in a fleet of two entries; one more for each further
+#: entry.
+CALLER_COUNT: Final = 5
+#: Seconds after which the supervisor restarts a process that exited.
 _RESTART_SECONDS: Final = 0.5
-#: Seconds within which a fleet that is left alone must serve again.
+#: Seconds after the last fault within which the fleet must serve again.
 _RECOVERY_SECONDS: Final = 30.0
-#: Times the length of a fault for which a target names a limit: a limit counts only three seconds
-#: after it was named, over four more.
-_LIMIT_TIMES: Final = 4.0
-#: Seconds between looks of the supervisor.
-_LOOK_SECONDS: Final = 0.05
+#: A target announces a rate limit for this multiple of the fault's length: the check of rate limits
+#: needs three seconds of propagation and a window of four seconds.
+_RATE_LIMIT_LENGTH_FACTOR: Final = 4.0
+#: Interval at which the supervisor polls the processes, in seconds.
+_POLL_SECONDS: Final = 0.05
 
 
 @dataclass(frozen=True, kw_only=True)
-class Verdict:
-    """How a run ended."""
+class SoakResult:
+    """Result of a run."""
 
-    #: The plan.
+    #: Plan of the run.
     plan: Plan
-    #: Promises that were broken.
-    breaches: tuple[Breach, ...]
-    #: Answers that callers got, by status.
+    #: Guarantees that were violated.
+    violations: tuple[Violation, ...]
+    #: Number of responses that callers received, by status; 0 if no response arrived.
     statuses: dict[int, int]
-    #: Targets that ended under the deadly request.
-    deadly_ends: int
+    #: Number of targets that exited on the crash request.
+    crash_count: int
 
 
-class Soak:
-    """One run.
+class SoakRun:
+    """One run of the soak.
 
     Args:
-        plan: what happens.
-        folder: takes settings, data and logs.
+        plan: faults, length and fleet of the run.
+        folder: receives settings, data and logs.
     """
 
     def __init__(self, plan: Plan, folder: Path) -> None:
@@ -65,35 +66,35 @@
             folder, size.list_controls(), size.list_entries(), tuple(self._targets)
         )
         self._folder: Final = folder
-        self._journal: Final = RunJournal()
+        self._observations: Final = Observations()
         self._lock: Final = Lock()
-        self._busy: set[str] = set()
+        self._reserved: set[str] = set()
         self._stopped: Final = Event()
 
-    def run(self) -> Verdict:
-        """Play the plan and judge what was seen."""
+    def run(self) -> SoakResult:
+        """Execute the plan and return the violations of guarantees."""
         supervisor = Thread(target=self._supervise, name="supervisor")
         with self._fleet:
             self._start()
             supervisor.start()
             try:
-                self._play()
-                stuck = self._recover()
+                self._execute()
+                not_recovered = self._check_recovery()
             finally:
                 self._stopped.set()
                 supervisor.join()
         logs = [self._folder / f"{name}.log" for name in self._targets]
         runs = tuple(read_target_runs(logs))
-        self._journal.arrivals.extend(read_arrivals(logs))
-        self._journal.namings.extend(read_namings(logs))
+        self._observations.arrivals.extend(read_arrivals(logs))
+        self._observations.rate_limits.extend(read_rate_limits(logs))
         statuses: dict[int, int] = {}
-        for answer in self._journal.answers:
-            statuses[answer.status] = statuses.get(answer.status, 0) + 1
-        return Verdict(
+        for response in self._observations.responses:
+            statuses[response.status] = statuses.get(response.status, 0) + 1
+        return SoakResult(
             plan=self._plan,
-            breaches=(*judge(self._journal, runs), *stuck),
+            violations=(*find_violations(self._observations, runs), *not_recovered),
             statuses=dict(sorted(statuses.items())),
-            deadly_ends=sum(run.is_deadly for run in runs),
+            crash_count=sum(run.is_crash for run in runs),
         )
 
     def _start(self) -> None:
@@ -105,21 +106,21 @@
         for name in self._targets:
             self._start_target(name)
         fleet.put_document(1, routes=make_document()["routes"])
-        wait_until(self._is_served, "everything is served")
+        wait_until(self._is_served, "all entries serve all routes")
 
     def _start_target(self, name: str) -> None:
         target = self._targets[name]
         self._fleet.start_target(name, target.service, target.kind)
 
     def _is_served(self) -> bool:
-        """Tell whether all entries serve all routes."""
+        """Return whether all entries serve all routes."""
         return all(
-            self._fleet.is_ready(entry) and self._serves(entry, route)
+            self._fleet.is_ready(entry) and self._serves_route(entry, route)
             for entry in self._fleet.entries
             for route in ("ping", "refund", "chat")
         )
 
-    def _serves(self, entry: str, route: str) -> bool:
+    def _serves_route(self, entry: str, route: str) -> bool:
         request_id = f"probe-{route}-{time.monotonic_ns()}@{entry}"
         headers = {"Damsonlane_Pieces": "1,1", "Damsonlane_Material_Key": "soak"}
         more = headers if route == "chat" else {}
@@ -128,14 +129,16 @@
 
     # Faults.
 
-    def _play(self) -> None:
+    def _execute(self) -> None:
         seed = self._plan.seed
         callers = [
-            Caller(self._fleet, self._journal, f"c{number}", seed + number)
-            for number in range(CALLERS + self._plan.size.entries - 2)
+            Caller(self._fleet, self._observations, f"c{number}", seed + number)
+            for number in range(CALLER_COUNT + self._plan.size.entries - 2)
         ]
-        callers.append(Caller(self._fleet, self._journal, "deadly", seed, is_deadly=True))
-        operator = OperatorThread(self._fleet, self._journal, seed)
+        callers.append(
+            Caller(self._fleet, self._observations, "deadly", seed, sends_crash_request=True)
+        )
+        operator = OperatorThread(self._fleet, self._observations, seed)
         faults = [Thread(target=self._inject, args=(fault,)) for fault in self._plan.faults]
         for caller in callers:
             caller.start()
@@ -150,92 +153,99 @@
         operator.stop()
 
     def _inject(self, fault: Fault) -> None:
-        """Carry out one fault at its time, and undo it."""
+        """Begin a fault at its time and end it after its duration."""
         self._stopped.wait(fault.at)
-        if fault.kind in WORD_KINDS:
-            self._say(fault)
+        if fault.kind in ANNOUNCEMENT_KINDS:
+            self._announce(fault)
             return
-        if fault.kind in LIMIT_KINDS:
-            self._limit(fault)
+        if fault.kind in RATE_LIMIT_KINDS:
+            self._announce_rate_limit(fault)
             return
         boxes = (*self._fleet.controls, *self._fleet.entries)
         names = (fault.process,) if fault.process else boxes
-        taken = self._take(names)
-        if not taken:
+        reserved = self._reserve(names)
+        if not reserved:
             return
         try:
-            self._journal.note_disturbance(*taken)
-            undo = [self._disturb(fault.kind, name) for name in taken]
+            self._observations.record_fault_events(*reserved)
+            undo = [self._begin_fault(fault.kind, name) for name in reserved]
             self._stopped.wait(fault.seconds)
             for step in undo:
                 step()
-            self._journal.note_disturbance(*taken)
+            self._observations.record_fault_events(*reserved)
         finally:
             with self._lock:
-                self._busy -= set(taken)
+                self._reserved -= set(reserved)
 
-    def _say(self, fault: Fault) -> None:
-        """Have a target, or all of its service, say something of itself.
+    def _announce(self, fault: Fault) -> None:
+        """Have a target, or all targets of its service, announce back-off or draining.
 
-        It is no disturbance: the entries are to act on it.
+        This is not recorded as a fault, since entries must act on announcements.
         """
-        names = self._list_fellows(fault) if fault.kind == "rest of all" else [fault.process]
+        names = (
+            self._list_service_targets(fault) if fault.kind == "rest of all" else [fault.process]
+        )
         self._signal(names, LEAVING_SIGNAL if fault.kind == "leaving word" else REST_SIGNAL)
         self._stopped.wait(fault.seconds)
         if fault.kind != "leaving word":
             return
-        while not self._take((fault.process,)):
-            self._stopped.wait(_LOOK_SECONDS)
+        while not self._reserve((fault.process,)):
+            self._stopped.wait(_POLL_SECONDS)
         try:
-            self._leave(fault.process)
+            self._drain(fault.process)
         finally:
             with self._lock:
-                self._busy.discard(fault.process)
+                self._reserved.discard(fault.process)
+
+    def _announce_rate_limit(self, fault: Fault) -> None:
+        """Have a target, or all targets of its service, announce a rate limit.
 
-    def _limit(self, fault: Fault) -> None:
-        """Have a target, or all of its service, name a rate limit, and most of them end it."""
-        names = self._list_fellows(fault) if fault.kind == "limit of all" else [fault.process]
+        The limit ends after a while, unless the fault is a lasting limit.
+        """
+        names = (
+            self._list_service_targets(fault) if fault.kind == "limit of all" else [fault.process]
+        )
         self._signal(names, LIMIT_SIGNAL)
-        self._stopped.wait(_LIMIT_TIMES * fault.seconds)
+        self._stopped.wait(_RATE_LIMIT_LENGTH_FACTOR * fault.seconds)
         if fault.kind != "lasting limit":
             self._signal(names, LIMIT_END_SIGNAL)
 
-    def _list_fellows(self, fault: Fault) -> list[str]:
-        """Return all targets of the service that a fault happens to."""
+    def _list_service_targets(self, fault: Fault) -> list[str]:
+        """Return the names of all targets of the service that a fault affects."""
         service = self._targets[fault.process].service
         return [name for name, other in self._targets.items() if other.service == service]
 
     def _signal(self, names: Sequence[str], number: int) -> None:
-        """Send targets a signal, but for those whose handlers are not set yet."""
+        """Send a signal to targets that run and have installed their signal handlers."""
         for name in names:
             process = self._fleet.processes[name]
             if process.is_running() and process.has_written():
                 process.signal(number)
 
-    def _leave(self, name: str) -> None:
-        """Have a target leave as planned, and start another one in its place."""
+    def _drain(self, name: str) -> None:
+        """Have a target drain and exit, and start its next incarnation."""
         process = self._fleet.processes[name]
         if process.is_running():
             process.terminate()
-        self._start_again(name)
+        self._restart(name)
 
-    def _take(self, names: tuple[str, ...]) -> tuple[str, ...]:
-        """Reserve those processes that no other fault has at the moment."""
+    def _reserve(self, names: tuple[str, ...]) -> tuple[str, ...]:
+        """Reserve those of some processes that no other fault affects at the moment."""
         with self._lock:
-            taken = tuple(name for name in names if name not in self._busy)
-            self._busy |= set(taken)
-            return taken
+            reserved = tuple(name for name in names if name not in self._reserved)
+            self._reserved |= set(reserved)
+            return reserved
 
-    def _disturb(self, kind: str, name: str) -> Callable[[], None]:
-        """Begin a fault at one process and return what undoes it."""
+    def _begin_fault(self, kind: str, name: str) -> Callable[[], None]:
+        """Begin a fault at one process and return the function that ends it."""
         process = self._fleet.processes[name]
         if not process.is_running():
-            return lambda: self._start_again(name)
+            return lambda: self._restart(name)
         if kind == "freeze":
             process.freeze()
             return process.thaw
         if kind == "hang-up":
-            # Before its first line the interpreter itself starts, which nothing can guard.
+            # SIGHUP ends a process whose interpreter still starts: no handler can be set yet.
             if process.has_written():
                 process.signal(signal.SIGHUP)
             return lambda: None
@@ -243,10 +253,10 @@
             process.terminate()
         else:
             process.kill()
-        return lambda: self._start_again(name)
+        return lambda: self._restart(name)
 
-    def _start_again(self, name: str) -> None:
-        """Start a process again, once an older one has ended."""
+    def _restart(self, name: str) -> None:
+        """Wait for the exit of a process and start it again."""
         self._fleet.processes[name].wait()
         if name in self._targets:
             self._start_target(name)
@@ -254,34 +264,36 @@
             self._fleet.start(name)
 
     def _supervise(self) -> None:
-        """Start targets again that ended; no box may end by itself."""
-        while not self._stopped.wait(_LOOK_SECONDS):
+        """Restart processes that exited outside a fault until the run stops."""
+        while not self._stopped.wait(_POLL_SECONDS):
             for name in (*self._fleet.controls, *self._fleet.entries, *self._targets):
-                if self._fleet.processes[name].is_running() or not self._take((name,)):
+                if self._fleet.processes[name].is_running() or not self._reserve((name,)):
                     continue
                 try:
-                    self._replace(name)
+                    self._restart_exited(name)
                 finally:
                     with self._lock:
-                        self._busy.discard(name)
+                        self._reserved.discard(name)
 
-    def _replace(self, name: str) -> None:
-        """Start a process again that ended by itself."""
+    def _restart_exited(self, name: str) -> None:
+        """Restart a process that exited by itself, and record it if it is no target."""
         if self._fleet.processes[name].is_running():
             return
         if name not in self._targets:
-            self._journal.own_ends.append(f"{name} ended by itself")
+            self._observations.unexpected_exits.append(f"{name} exited by itself")
         self._stopped.wait(_RESTART_SECONDS)
-        self._start_again(name)
+        self._restart(name)
 
-    def _recover(self) -> tuple[Breach, ...]:
-        """Leave the fleet alone; return a breach if it does not serve again.
+    def _check_recovery(self) -> tuple[Violation, ...]:
+        """Return a violation if the fleet does not serve again without further faults.
 
-        Targets name no limits any more: with one of nothing at all they serve nothing.
+        All rate limits are ended first, since a target with a limit of 0 gets no requests.
         """
         self._signal(list(self._targets), LIMIT_END_SIGNAL)
         try:
-            wait_until(self._is_served, "everything is served again", _RECOVERY_SECONDS)
+            wait_until(self._is_served, "all entries serve all routes again", _RECOVERY_SECONDS)
         except StuckError as error:
-            return (Breach(promise="service comes back", seen=str(error)),)
+            return (
+                Violation(guarantee="the fleet serves again after the faults", detail=str(error)),
+            )
         return ()
