--- a/packages/damsonlane_bench/src/damsonlane_bench/soak/_plan.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/soak/_plan.py
@@ -8,7 +8,7 @@
 from damsonlane_bench.soak._fleet_size import FleetSize
 
 #: Draws the name of the process that a fault affects; empty for all boxes.
-DrawProcess = Callable[[random.Random, "Boxes"], str]
+DrawProcess = Callable[[random.Random, "ProcessNames"], str]
 
 #: Shortest and longest duration of a fault, in seconds: from less than a heartbeat interval to more
 #: than a lease or an election lasts.
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Boxes:
+class ProcessNames:
     """Names of the processes that faults may affect."""
 
     #: Control replicas.
@@ -32,8 +32,8 @@
     targets: tuple[str, ...]
 
     @classmethod
-    def from_size(cls, size: FleetSize) -> "Boxes":
-        """Return the processes of a fleet of some size."""
+    def from_size(cls, size: FleetSize) -> "ProcessNames":
+        """Return the names of all processes of a fleet."""
         return cls(
             controls=size.list_controls(),
             entries=size.list_entries(),
@@ -98,61 +98,61 @@
 
 
 @fault_kind("kill")
-def _draw_killed(randomness: random.Random, boxes: Boxes) -> str:
-    return randomness.choice((*boxes.controls, *boxes.entries, *boxes.targets))
+def _draw_killed(randomness: random.Random, names: ProcessNames) -> str:
+    return randomness.choice((*names.controls, *names.entries, *names.targets))
 
 
 @fault_kind("freeze")
-def _draw_suspended(randomness: random.Random, boxes: Boxes) -> str:
-    return randomness.choice((*boxes.controls, *boxes.entries, *boxes.targets))
+def _draw_suspended(randomness: random.Random, names: ProcessNames) -> str:
+    return randomness.choice((*names.controls, *names.entries, *names.targets))
 
 
 @fault_kind("hang-up")
-def _draw_signalled(randomness: random.Random, boxes: Boxes) -> str:
-    return randomness.choice((*boxes.controls, *boxes.entries))
+def _draw_signalled(randomness: random.Random, names: ProcessNames) -> str:
+    return randomness.choice((*names.controls, *names.entries))
 
 
 @fault_kind("stop")
-def _draw_stopped(randomness: random.Random, boxes: Boxes) -> str:
-    return randomness.choice(boxes.entries)
+def _draw_stopped(randomness: random.Random, names: ProcessNames) -> str:
+    return randomness.choice(names.entries)
 
 
 @fault_kind("power")
-def _draw_all_boxes(randomness: random.Random, boxes: Boxes) -> str:
+def _draw_all_boxes(randomness: random.Random, names: ProcessNames) -> str:
     return ""
 
 
 @fault_kind("rest", ANNOUNCEMENT_KINDS)
-def _draw_backing_off(randomness: random.Random, boxes: Boxes) -> str:
-    return randomness.choice(boxes.targets)
+def _draw_backing_off(randomness: random.Random, names: ProcessNames) -> str:
+    return randomness.choice(names.targets)
 
 
 @fault_kind("rest of all", ANNOUNCEMENT_KINDS)
-def _draw_backing_off_service(randomness: random.Random, boxes: Boxes) -> str:
+def _draw_backing_off_service(randomness: random.Random, names: ProcessNames) -> str:
     """Return one target; all targets of its service are affected."""
-    return randomness.choice(boxes.targets)
+    return randomness.choice(names.targets)
 
 
 @fault_kind("leaving word", ANNOUNCEMENT_KINDS)
-def _draw_draining(randomness: random.Random, boxes: Boxes) -> str:
-    return randomness.choice(boxes.targets)
+def _draw_draining(randomness: random.Random, names: ProcessNames) -> str:
+    return randomness.choice(names.targets)
 
 
 @fault_kind("limit", RATE_LIMIT_KINDS)
-def _draw_rate_limited(randomness: random.Random, boxes: Boxes) -> str:
-    return randomness.choice(boxes.targets)
+def _draw_rate_limited(randomness: random.Random, names: ProcessNames) -> str:
+    return randomness.choice(names.targets)
 
 
 @fault_kind("limit of all", RATE_LIMIT_KINDS)
-def _draw_rate_limited_service(randomness: random.Random, boxes: Boxes) -> str:
+def _draw_rate_limited_service(randomness: random.Random, names: ProcessNames) -> str:
     """Return one target; all targets of its service are affected."""
-    return randomness.choice(boxes.targets)
+    return randomness.choice(names.targets)
 
 
 @fault_kind("lasting limit", RATE_LIMIT_KINDS)
-def _draw_lasting_rate_limit(randomness: random.Random, boxes: Boxes) -> str:
+def _draw_lasting_rate_limit(randomness: random.Random, names: ProcessNames) -> str:
     """Return a target whose rate limit stays until another announcement replaces or ends it."""
-    return randomness.choice(boxes.targets)
+    return randomness.choice(names.targets)
 
 
 def draw_plan(seed: int, seconds: float, size: FleetSize | None = None) -> Plan:
@@ -164,16 +164,16 @@
         size: size of the fleet; the default size if None.
     """
     fleet = size or FleetSize()
-    boxes = Boxes.from_size(fleet)
-    faults = _draw_faults(random.Random(seed), seconds, boxes, PROCESS_FAULT_KINDS)
-    announcements = _draw_faults(random.Random(f"words {seed}"), seconds, boxes, ANNOUNCEMENT_KINDS)
-    rate_limits = _draw_faults(random.Random(f"limits {seed}"), seconds, boxes, RATE_LIMIT_KINDS)
+    names = ProcessNames.from_size(fleet)
+    faults = _draw_faults(random.Random(seed), seconds, names, PROCESS_FAULT_KINDS)
+    announcements = _draw_faults(random.Random(f"words {seed}"), seconds, names, ANNOUNCEMENT_KINDS)
+    rate_limits = _draw_faults(random.Random(f"limits {seed}"), seconds, names, RATE_LIMIT_KINDS)
     ordered = sorted((*faults, *announcements, *rate_limits), key=lambda fault: fault.at)
     return Plan(seed=seed, seconds=seconds, faults=tuple(ordered), size=fleet)
 
 
 def _draw_faults(
-    randomness: random.Random, seconds: float, boxes: Boxes, kinds: Mapping[str, DrawProcess]
+    randomness: random.Random, seconds: float, names: ProcessNames, kinds: Mapping[str, DrawProcess]
 ) -> list[Fault]:
     """Return faults of some kinds with exponentially distributed gaps between their begins."""
     faults: list[Fault] = []
@@ -184,7 +184,7 @@
             Fault(
                 at=round(at, 2),
                 kind=kind,
-                process=kinds[kind](randomness, boxes),
+                process=kinds[kind](randomness, names),
                 seconds=round(randomness.uniform(_MIN_FAULT_SECONDS, _MAX_FAULT_SECONDS), 2),
             )
         )
