--- a/packages/damsonlane_bench/src/damsonlane_bench/__init__.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for targets, and tools that load and measure the system."""
+"""Stand-in targets, fleets of real processes, load generation, soak runs and measurements."""
--- a/packages/damsonlane_bench/src/damsonlane_bench/capacity.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/capacity.py
@@ -1,8 +1,8 @@
-"""Measures what control costs at several sizes: ``python -m damsonlane_bench.capacity``.
+"""Measures the cost of control at several fleet sizes: ``python -m damsonlane_bench.capacity``.
 
-Starts fleets of real processes, without requests and with a steady flow of
-settings changes, and reads processor time and memory from the system and
-messages and bytes from each process's own metrics.
+Starts fleets of real processes without requests, and measures them both idle and with about one
+settings change per second.  Reads processor time and memory from the system, messages and bytes
+from the metrics of each process.
 """
 
 import json
@@ -20,23 +20,23 @@
 from damsonlane_bench.fleet import Box, Fleet, send, wait_until
 from damsonlane_bench.operator import OperatorLoop
 
-#: Clock ticks a second of the system's processor accounting.
-_TICKS: Final = 100.0
-#: Seconds of each measurement.
-_SECONDS: Final = 12.0
-#: Changes a second at the target size: 3,600 a day with twenty-fold peaks.
-_CHANGES: Final = 10
+#: Clock ticks per second in ``/proc``.
+_TICKS_PER_SECOND: Final = 100.0
+#: Length of each measurement, in seconds.
+_MEASUREMENT_SECONDS: Final = 12.0
+#: Number of changes whose propagation time is measured.
+_PROPAGATED_CHANGES: Final = 10
 
 
 @dataclass(frozen=True, kw_only=True)
 class Reading:
     """Counters of one process at one moment."""
 
-    #: Processor seconds used so far.
+    #: Processor time used, in seconds.
     processor: float
-    #: Messages between boxes so far, both ways.
+    #: Messages between boxes, sent and received.
     messages: float
-    #: Bytes of them so far, both ways.
+    #: Bytes of these messages, sent and received.
     bytes: float
     #: Resident memory, in bytes.
     memory: int
@@ -44,21 +44,21 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Cost:
-    """What one process costs a second."""
+    """Cost of one process during one measurement."""
 
-    #: Size of the fleet, in entries.
+    #: Number of entries of the fleet.
     entries: int
     #: Whether settings were being changed.
     is_changing: bool
-    #: Role of the process; the leader is told apart.
+    #: Role of the process: ``entry``, ``control`` or ``control leader``.
     role: str
-    #: Share of a core, in per cent.
+    #: Processor usage, in per cent of one core.
     processor: float
-    #: Messages a second, both ways.
+    #: Messages per second, sent and received.
     messages: float
-    #: Bytes a second, both ways.
+    #: Bytes per second, sent and received.
     bytes: float
-    #: Resident memory, in megabytes.
+    #: Resident memory, in MiB.
     memory: float
 
 
@@ -66,9 +66,9 @@
     """Measure fleets of several sizes and print a table with fitted slopes.
 
     Args:
-        sizes: entries of each fleet.
-        repeats: measurements at each size.
-        output: file for all figures as JSON.
+        sizes: number of entries of each fleet.
+        repeats: number of measurements at each size, idle and with changes.
+        output: file that receives all measurements as JSON.
     """
     costs: list[Cost] = []
     for size in sizes:
@@ -91,7 +91,7 @@
     for _ in range(repeats):
         costs += _measure_once(fleet, operators, size, is_changing=False)
         costs += _measure_once(fleet, operators, size, is_changing=True)
-    print(f"{size} entries: in force everywhere after {_measure_spread(fleet, operators)}")
+    print(f"{size} entries: in force everywhere after {_measure_propagation(fleet, operators)}")
     operators.close()
     return costs
 
@@ -101,9 +101,9 @@
 ) -> list[Cost]:
     leader = next(status.box for status in operators.statuses() if status.standing == "leader")
     time.sleep(1.0)
-    before = {box.name: _read(fleet, box) for box in fleet.boxes.values()}
+    before = {box.name: _read_counters(fleet, box) for box in fleet.boxes.values()}
     began_at = time.monotonic()
-    while time.monotonic() - began_at < _SECONDS:
+    while time.monotonic() - began_at < _MEASUREMENT_SECONDS:
         if is_changing:
             operators.change(1)
         time.sleep(1.0)
@@ -111,30 +111,30 @@
     costs = []
     for box in fleet.boxes.values():
         role = "control leader" if box.name == leader else box.role
-        after = _read(fleet, box)
-        costs.append(_compare(before[box.name], after, seconds, size, is_changing, role))
+        after = _read_counters(fleet, box)
+        costs.append(_compute_cost(before[box.name], after, seconds, size, is_changing, role))
     return costs
 
 
-def _read(fleet: Fleet, box: Box) -> Reading:
+def _read_counters(fleet: Fleet, box: Box) -> Reading:
     pid = fleet.processes[box.name].pid
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     status = Path(f"/proc/{pid}/status").read_text()
     memory = next(line for line in status.splitlines() if line.startswith("VmRSS"))
     text = send("GET", f"http://{box.admin_address}/metrics").body
     return Reading(
-        processor=(int(fields[11]) + int(fields[12])) / _TICKS,
-        messages=_sum(text, "damsonlane_rpc_messages{"),
-        bytes=_sum(text, "damsonlane_rpc_bytes{"),
+        processor=(int(fields[11]) + int(fields[12])) / _TICKS_PER_SECOND,
+        messages=_sum_metrics(text, "damsonlane_rpc_messages{"),
+        bytes=_sum_metrics(text, "damsonlane_rpc_bytes{"),
         memory=int(memory.split()[1]) * 1024,
     )
 
 
-def _sum(text: str, prefix: str) -> float:
+def _sum_metrics(text: str, prefix: str) -> float:
     return sum(float(line.split()[-1]) for line in text.splitlines() if line.startswith(prefix))
 
 
-def _compare(
+def _compute_cost(
     before: Reading, after: Reading, seconds: float, size: int, is_changing: bool, role: str
 ) -> Cost:
     return Cost(
@@ -148,10 +148,10 @@
     )
 
 
-def _measure_spread(fleet: Fleet, operators: OperatorLoop) -> str:
-    """Return the time from sending a change until every entry has it in force."""
-    accepted, spread = [], []
-    for _ in range(_CHANGES):
+def _measure_propagation(fleet: Fleet, operators: OperatorLoop) -> str:
+    """Return a description of how long changes take until all entries have them in force."""
+    accepted, propagated = [], []
+    for _ in range(_PROPAGATED_CHANGES):
         began_at = time.monotonic()
         operators.change(1)
         accepted.append(time.monotonic() - began_at)
@@ -163,10 +163,10 @@
             }
             return all(reached.get(box.name, 0) >= version for box in fleet.entries())
 
-        wait_until(is_everywhere, "it is in force everywhere")
-        spread.append(time.monotonic() - began_at)
+        wait_until(is_everywhere, "all entries have the change in force")
+        propagated.append(time.monotonic() - began_at)
     return (
-        f"{statistics.median(spread):.3f} s (worst {max(spread):.3f} s), "
+        f"{statistics.median(propagated):.3f} s (worst {max(propagated):.3f} s), "
         f"accepted after {statistics.median(accepted):.3f} s (worst {max(accepted):.3f} s)"
     )
 
@@ -183,7 +183,7 @@
 def _fit(
     costs: Sequence[Cost], sizes: Sequence[int], role: str, is_changing: bool, figure: str
 ) -> dict[str, Any]:
-    """Return medians by size and the line that fits all measurements."""
+    """Return medians by size, the slope per entry and the value extrapolated to 350 entries."""
     chosen = [c for c in costs if c.role == role and c.is_changing == is_changing]
     row: dict[str, Any] = {"role": role, "changing": is_changing, "figure": figure}
     for size in sizes:
--- a/packages/damsonlane_bench/src/damsonlane_bench/demo.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/demo.py
@@ -1,4 +1,4 @@
-"""The demonstration: a whole small system, driven as its operators and callers would."""
+"""Demonstration of a small fleet that serves pipelines: ``python -m damsonlane_bench.demo``."""
 
 import json
 import sys
@@ -16,18 +16,18 @@
 
 
 class Demonstration:
-    """Runs the steps and remembers which did not hold."""
+    """Runs the steps of the demonstration and collects the checks that failed."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet: Final = fleet
-        self.faults: list[str] = []
+        self.failures: list[str] = []
 
     def run(self) -> None:
-        """Run all steps."""
+        """Run all steps on a fleet that has not been started."""
         self._start()
-        self._answer_all()
-        self._refuse_one()
-        self._change_root()
+        self._send_requests()
+        self._send_expired_request()
+        self._change_deadline()
 
     def _start(self) -> None:
         print("Starting 3 control replicas, 2 entries, 4 stage targets and 1 plain service ...")
@@ -39,22 +39,25 @@
         self._fleet.apply_tree(make_tree(self._fleet.standins))
         print(self._fleet.require("control", "status"))
 
-    def _answer_all(self) -> None:
+    def _send_requests(self) -> None:
         filing = _FILING.read_text(encoding="utf-8")
-        self._show("a statement question", "statement", "Why does my statement show Tuesday?")
-        self._show("a long filing", "filing", filing)
-        self._show("a subtitle line", "subtitle", "The court will rise.")
+        self._send("a statement question", "statement", "Why does my statement show Tuesday?")
+        self._send("a long filing", "filing", filing)
+        self._send("a subtitle line", "subtitle", "The court will rise.")
         key = {"Idempotency-Key": "demo-refund-1"}
-        first = self._show("a terminal ping", "refund", "confirm refund 1", key)
-        again = self._show("the same ping again", "refund", "confirm refund 1", key)
-        self._check(again.body.get("repeated") is True, "a resent ping repeats the first answer")
+        first = self._send("a terminal ping", "refund", "confirm refund 1", key)
+        repeated = self._send("the same ping again", "refund", "confirm refund 1", key)
         self._check(
-            first.body.get("output") == again.body.get("output"), "both answers are the same"
+            repeated.body.get("repeated") is True, "a repeated ping gets the first response again"
+        )
+        self._check(
+            first.body.get("output") == repeated.body.get("output"),
+            "both responses have the same output",
         )
         runs = self._fleet.read_executions("terminal-1")
-        self._check(len(runs) == 1 and runs[0]["count"] == 1, "the marked ping ran once")
+        self._check(len(runs) == 1 and runs[0]["count"] == 1, "the non-repeatable ping ran once")
 
-    def _show(
+    def _send(
         self, what: str, pipeline: str, text: str, headers: dict[str, str] | None = None
     ) -> Response:
         response = self._fleet.call("entry-1", pipeline, text, token=_TOKEN, headers=headers)
@@ -67,34 +70,36 @@
             print(f"    remaining  {body['remaining_ms']:6d} ms of the deadline")
         return response
 
-    def _refuse_one(self) -> None:
+    def _send_expired_request(self) -> None:
         headers = {"Damsonlane-Deadline-Ms": "0"}
         response = self._fleet.call(
             "entry-2", "statement", "too late", token=_TOKEN, headers=headers
         )
-        print(f"an honest refusal: {json.dumps(response.body)}")
-        self._check(response.body.get("run") == "no", "the refusal says that nothing ran")
+        print(f"a refused request: {json.dumps(response.body)}")
+        self._check(
+            response.body.get("run") == "no", "the refusal says that the request did not run"
+        )
 
-    def _change_root(self) -> None:
+    def _change_deadline(self) -> None:
         print(self._fleet.require("settings", "set", "/policy/deadline_seconds", "2.5").strip())
         print(self._fleet.require("control", "boxes"))
         for entry in ("entry-1", "entry-2"):
             response = self._fleet.call(entry, "statement", "in force?", token=_TOKEN)
             remaining = response.body.get("remaining_ms", 9999)
             self._check(remaining <= 2500, f"the new deadline is in force at {entry}")
-        wait_until(self._are_costs_in, "the costs have arrived")
+        wait_until(self._have_costs_arrived, "the cost report contains the refund")
         print(self._fleet.require("report", "cost"))
         plot = self._fleet.folder / "attainment.svg"
         print(self._fleet.require("report", "burn", f"--plot={plot}"))
-        self._check(plot.stat().st_size > 0, "the plot of attainment is drawn")
+        self._check(plot.stat().st_size > 0, "the attainment plot is written")
 
-    def _are_costs_in(self) -> bool:
+    def _have_costs_arrived(self) -> bool:
         return "refund" in self._fleet.require("report", "cost")
 
-    def _check(self, holds: bool, what: str) -> None:
-        print(f"{'ok ' if holds else 'BAD'} {what}")
-        if not holds:
-            self.faults.append(what)
+    def _check(self, passed: bool, description: str) -> None:
+        print(f"{'ok ' if passed else 'BAD'} {description}")
+        if not passed:
+            self.failures.append(description)
 
 
 def make_tree(addresses: dict[str, str]) -> dict[str, Any]:
@@ -125,7 +130,7 @@
 
 
 def main() -> int:
-    """Run the demonstration; the exit code tells whether all of it held."""
+    """Run the demonstration and return the exit code: 0 if all checks passed."""
     began_at = time.monotonic()
     with tempfile.TemporaryDirectory() as folder, Fleet(Path(folder)) as fleet:
         demonstration = Demonstration(fleet)
@@ -134,9 +139,9 @@
             code = fleet.stop(name)
             print(f"{name} stopped with code {code}")
             if code != 0:
-                demonstration.faults.append(f"{name} stopped with code {code}")
-    print(f"{time.monotonic() - began_at:.1f} s in all; {len(demonstration.faults)} faults")
-    return 1 if demonstration.faults else 0
+                demonstration.failures.append(f"{name} stopped with code {code}")
+    print(f"{time.monotonic() - began_at:.1f} s; {len(demonstration.failures)} failed checks")
+    return 1 if demonstration.failures else 0
 
 
 if __name__ == "__main__":
--- a/packages/damsonlane_bench/src/damsonlane_bench/overhead.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/overhead.py
@@ -1,7 +1,7 @@
-"""Measures what the entry adds to a request: ``python -m damsonlane_bench.overhead``.
+"""Measures the overhead of an entry per request: ``python -m damsonlane_bench.overhead``.
 
-The same client calls the four stage targets directly, in turn, and then the
-same pipeline through an entry, side by side in one run.
+In each repeat one client sends the same pipeline through an entry, and then calls the four stage
+targets directly, one after the other.
 """
 
 import json
@@ -19,12 +19,18 @@
 from damsonlane_bench.settings_trees import STAGES, digest_token, make_pipeline, make_services
 
 _TOKEN: Final = "overhead-token"
+#: Requests of each kind per repeat.
 _REQUESTS: Final = 300
-_TICKS: Final = 100.0
+#: Clock ticks per second in ``/proc``.
+_TICKS_PER_SECOND: Final = 100.0
 
 
 def measure(repeats: int = 3) -> None:
-    """Measure and print processor time and added times, once for each repeat."""
+    """Measure and print the processor time and the added latency of an entry.
+
+    Args:
+        repeats: number of measurements.
+    """
     with tempfile.TemporaryDirectory() as folder, Fleet(Path(folder), entries=1) as fleet:
         for service in STAGES:
             fleet.start_standin(f"{service}-1", seconds=0.001, token_seconds=0.0)
@@ -47,21 +53,21 @@
 
 def _measure_once(fleet: Fleet) -> str:
     pool = urllib3.PoolManager(retries=False)
-    _time(lambda: _call_entry(pool, fleet))
-    before = _processor(fleet)
-    through = _time(lambda: _call_entry(pool, fleet))
-    processor = (_processor(fleet) - before) / _REQUESTS
-    direct = _time(lambda: _call_directly(pool, fleet))
-    added = statistics.median(through) - statistics.median(direct)
-    added_p99 = _percentile(through) - _percentile(direct)
+    _time_calls(lambda: _call_entry(pool, fleet))
+    before = _read_processor_seconds(fleet)
+    via_entry = _time_calls(lambda: _call_entry(pool, fleet))
+    processor = (_read_processor_seconds(fleet) - before) / _REQUESTS
+    direct = _time_calls(lambda: _call_directly(pool, fleet))
+    added = statistics.median(via_entry) - statistics.median(direct)
+    added_p99 = _percentile(via_entry) - _percentile(direct)
     return (
-        f"{processor * 1000:.2f} ms of the entry's processor a request; median "
+        f"{processor * 1000:.2f} ms of the entry's processor time per request; median "
         f"{added * 1000:.2f} ms and 99th percentile {added_p99 * 1000:.2f} ms added "
         f"(direct median {statistics.median(direct) * 1000:.2f} ms)"
     )
 
 
-def _time(call: Callable[[], None]) -> list[float]:
+def _time_calls(call: Callable[[], None]) -> list[float]:
     times = []
     for _ in range(_REQUESTS):
         began_at = time.monotonic()
@@ -98,10 +104,10 @@
     assert pool.request("POST", url, body=body).data.endswith(b"[DONE]\n\n")
 
 
-def _processor(fleet: Fleet) -> float:
+def _read_processor_seconds(fleet: Fleet) -> float:
     pid = fleet.processes["entry-1"].pid
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / _TICKS
+    return (int(fields[11]) + int(fields[12])) / _TICKS_PER_SECOND
 
 
 if __name__ == "__main__":
--- a/packages/damsonlane_bench/src/damsonlane_bench/policy.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/policy.py
@@ -1,7 +1,7 @@
-"""Measures policies under waves and faults: ``python -m damsonlane_bench.policy``.
+"""Measures routing policies under load and faults: ``python -m damsonlane_bench.policy``.
 
-Each scenario runs every policy in turn in the same fleet with the same seeds,
-so that the policies of one row are compared under equal conditions.
+Each scenario runs all policies one after the other on the same fleet and with the same seeds, so
+that they are compared under equal conditions.
 """
 
 import json
@@ -31,7 +31,7 @@
 
 _TOKENS: Final = {"merchants": "merchants-token", "bureau": "bureau-token"}
 POLICIES: Final = ("random", "round-robin", "least-in-flight", "predicted", "paced")
-#: Work of both deployments, mixed.
+#: Request classes of both organisations, mixed.
 CLASSES: Final = (
     RequestClass(name="lookup", share=0.45, token=_TOKENS["merchants"], pipeline="lookup",
                  length=50, deadline_ms=1000),
@@ -44,13 +44,14 @@
     RequestClass(name="dossier", share=0.05, token=_TOKENS["bureau"], pipeline="dossier",
                  length=8000, deadline_ms=3000),
 )  # fmt: skip
-#: Engines, and workers of each other service.
-_ENGINES: Final = 6
-_WORKERS: Final = 4
-#: Requests that an engine runs at once, and its seconds for each.
-_ENGINE: Final = {"slots": 2, "seconds": 0.06, "token_seconds": 0.004}
-_WORKER: Final = {"slots": 2, "seconds": 0.01, "seconds_per_thousand": 0.004}
-#: Requests a second that the engines can carry: half of all requests need one.
+#: Number of engines, and of targets of each other service.
+_ENGINE_COUNT: Final = 6
+_WORKER_COUNT: Final = 4
+#: Behaviour of the stand-ins of engines and of other targets.
+_ENGINE_BEHAVIOUR: Final = {"slots": 2, "seconds": 0.06, "token_seconds": 0.004}
+_WORKER_BEHAVIOUR: Final = {"slots": 2, "seconds": 0.01, "seconds_per_thousand": 0.004}
+#: Capacity of the fleet in requests per second, limited by the engines, which half of all requests
+#: need.
 CAPACITY: Final = 150.0
 
 
@@ -58,47 +59,47 @@
 class Scenario:
     """Load and fault of one measurement."""
 
-    #: Its name.
+    #: Name in the results.
     name: str
-    #: The load, as shares of the capacity.
+    #: Rates of the load over time.
     wave: Wave
-    #: What goes wrong; called once the load starts.
-    disturb: Callable[[Fleet], None] = lambda _: None
-    #: What is mended afterwards.
-    mend: Callable[[Fleet], None] = lambda _: None
+    #: Injects the fault; called when the load starts.
+    inject_fault: Callable[[Fleet], None] = lambda _: None
+    #: Ends the fault; called after the load.
+    end_fault: Callable[[Fleet], None] = lambda _: None
 
 
-def _slow_engine(fleet: Fleet) -> None:
-    slow = {name: value * 10 for name, value in _ENGINE.items() if name != "slots"}
+def _slow_down_engine(fleet: Fleet) -> None:
+    slow = {name: value * 10 for name, value in _ENGINE_BEHAVIOUR.items() if name != "slots"}
     fleet.change_behaviour("generate-1", **slow)
 
 
-def _usual_engine(fleet: Fleet) -> None:
-    fleet.change_behaviour("generate-1", **_ENGINE)
+def _restore_engine(fleet: Fleet) -> None:
+    fleet.change_behaviour("generate-1", **_ENGINE_BEHAVIOUR)
 
 
-def _slow_stage(fleet: Fleet) -> None:
-    for number in range(_WORKERS):
+def _slow_down_stage(fleet: Fleet) -> None:
+    for number in range(_WORKER_COUNT):
         fleet.change_behaviour(f"rerank-{number + 1}", seconds=0.05)
 
 
-def _usual_stage(fleet: Fleet) -> None:
-    for number in range(_WORKERS):
-        fleet.change_behaviour(f"rerank-{number + 1}", **_WORKER)
+def _restore_stage(fleet: Fleet) -> None:
+    for number in range(_WORKER_COUNT):
+        fleet.change_behaviour(f"rerank-{number + 1}", **_WORKER_BEHAVIOUR)
 
 
-def _later(seconds: float, act: Callable[[Fleet], None]) -> Callable[[Fleet], None]:
-    def begin(fleet: Fleet) -> None:
-        threading.Timer(seconds, act, [fleet]).start()
+def _delayed(seconds: float, action: Callable[[Fleet], None]) -> Callable[[Fleet], None]:
+    def schedule(fleet: Fleet) -> None:
+        threading.Timer(seconds, action, [fleet]).start()
 
-    return begin
+    return schedule
 
 
-def _hang_up(fleet: Fleet) -> None:
+def _break_engine(fleet: Fleet) -> None:
     fleet.change_behaviour("generate-2", hang_up_every=1, is_refusing=True)
 
 
-def _no_hang_up(fleet: Fleet) -> None:
+def _repair_engine(fleet: Fleet) -> None:
     fleet.change_behaviour("generate-2", hang_up_every=0, is_refusing=False)
 
 
@@ -106,52 +107,61 @@
     fleet.kill("entry-6")
 
 
-def _start_entry(fleet: Fleet) -> None:
+def _restart_entry(fleet: Fleet) -> None:
     fleet.start("entry-6")
     fleet.wait_ready(fleet.boxes["entry-6"])
 
 
-def _steady(share: float) -> Wave:
+def _steady_load(share: float) -> Wave:
     rate = CAPACITY * share
     return Wave(calm_rate=rate, wave_rate=rate, before=0, during=8, after=0)
 
 
 _STEP: Final = Wave(calm_rate=CAPACITY * 0.3, wave_rate=CAPACITY * 2.0, before=2, during=6, after=2)
 SCENARIOS: Final = (
-    Scenario(name="calm at 50%", wave=_steady(0.5)),
-    Scenario(name="80%", wave=_steady(0.8)),
+    Scenario(name="calm at 50%", wave=_steady_load(0.5)),
+    Scenario(name="80%", wave=_steady_load(0.8)),
     Scenario(
         name="80%, one engine ten times slower",
-        wave=_steady(0.8),
-        disturb=_slow_engine,
-        mend=_usual_engine,
+        wave=_steady_load(0.8),
+        inject_fault=_slow_down_engine,
+        end_fault=_restore_engine,
     ),
     Scenario(name="wave to 200%", wave=_STEP),
     Scenario(
-        name="wave, rerank five times slower", wave=_STEP, disturb=_slow_stage, mend=_usual_stage
+        name="wave, rerank five times slower",
+        wave=_STEP,
+        inject_fault=_slow_down_stage,
+        end_fault=_restore_stage,
     ),
     Scenario(
         name="wave, an engine fails in it",
         wave=_STEP,
-        disturb=_later(4.0, _hang_up),
-        mend=_no_hang_up,
+        inject_fault=_delayed(4.0, _break_engine),
+        end_fault=_repair_engine,
     ),
     Scenario(
         name="wave, an entry killed in it",
         wave=_STEP,
-        disturb=_later(4.0, _kill_entry),
-        mend=_start_entry,
+        inject_fault=_delayed(4.0, _kill_entry),
+        end_fault=_restart_entry,
     ),
 )
 
 
 def start_fleet(folder: Path, entries: int = 6, **policy: Any) -> Fleet:
-    """Start a fleet of today's size with stand-ins for all services."""
+    """Start a fleet with stand-ins for all services.
+
+    Args:
+        folder: receives settings, data and logs.
+        entries: number of entries.
+        policy: policy settings at the root of the settings tree.
+    """
     fleet = Fleet(folder, entries=entries, with_tls=True)
     for service in (*STAGES, "terminal", "lookup"):
         is_engine = service == "generate"
-        behaviour = _ENGINE if is_engine else _WORKER
-        for number in range(_ENGINES if is_engine else _WORKERS):
+        behaviour = _ENGINE_BEHAVIOUR if is_engine else _WORKER_BEHAVIOUR
+        for number in range(_ENGINE_COUNT if is_engine else _WORKER_COUNT):
             fleet.start_standin(f"{service}-{number + 1}", **behaviour)
     fleet.start_control_group()
     fleet.start_entries()
@@ -181,24 +191,33 @@
 
 
 def run_once(fleet: Fleet, scenario: Scenario, name: str, seed: int) -> tuple[Outcome, ...]:
-    """Run a scenario once."""
+    """Run a scenario once and return the outcomes of its requests.
+
+    Args:
+        fleet: fleet to load.
+        scenario: load and fault.
+        name: name of the run.
+        seed: seed of the arrivals.
+    """
     arrivals = plan_arrivals(scenario.wave, CLASSES, seed)
     entries = [box.caller_address for box in fleet.entries()]
-    outcomes = send_arrivals(arrivals, entries, name, lambda: scenario.disturb(fleet))
-    scenario.mend(fleet)
+    outcomes = send_arrivals(arrivals, entries, name, lambda: scenario.inject_fault(fleet))
+    scenario.end_fault(fleet)
     return outcomes
 
 
-def count_false(fleet: Fleet, outcomes: tuple[Outcome, ...]) -> tuple[int, int]:
-    """Return marked requests that ran twice, and false "not run" among them."""
+def count_at_most_once_violations(fleet: Fleet, outcomes: tuple[Outcome, ...]) -> tuple[int, int]:
+    """Return how many non-repeatable requests ran twice, and how many ran despite "not run"."""
     runs: dict[str, int] = {}
-    for number in range(_WORKERS):
+    for number in range(_WORKER_COUNT):
         for execution in fleet.read_executions(f"terminal-{number + 1}"):
             runs[execution["request"]] = runs.get(execution["request"], 0) + execution["count"]
-    marked = [outcome for outcome in outcomes if outcome.key and outcome.request]
-    doubled = sum(1 for outcome in marked if runs.get(outcome.request, 0) > 1)
-    false = sum(1 for o in marked if o.kind == "not-run" and runs.get(o.request, 0) > 0)
-    return doubled, false
+    non_repeatable = [outcome for outcome in outcomes if outcome.key and outcome.request]
+    duplicates = sum(1 for outcome in non_repeatable if runs.get(outcome.request, 0) > 1)
+    false_refusals = sum(
+        1 for o in non_repeatable if o.kind == "not-run" and runs.get(o.request, 0) > 0
+    )
+    return duplicates, false_refusals
 
 
 def measure(
@@ -207,10 +226,10 @@
     """Measure all scenarios and print a table.
 
     Args:
-        repeats: runs of each policy in each scenario, with seeds 1, 2, ...
-        policies: names, separated by commas.
-        only: run only scenarios with this in their names.
-        output: file for all figures as JSON.
+        repeats: number of runs of each policy in each scenario, with seeds 1, 2, ...
+        policies: names of policies, separated by commas.
+        only: run only scenarios whose names contain this text.
+        output: file that receives all measurements as JSON.
     """
     names = policies if isinstance(policies, (tuple, list)) else policies.split(",")
     rows: list[dict[str, Any]] = []
@@ -220,29 +239,31 @@
                 continue
             for seed in range(1, repeats + 1):
                 for policy in names:
-                    rows.append(_measure_one(fleet, scenario, policy, seed))
+                    rows.append(_measure_policy(fleet, scenario, policy, seed))
                     print(json.dumps(rows[-1]["line"]), flush=True)
     if output:
         Path(output).write_text(json.dumps(rows, indent=1), encoding="utf-8")
     print(tabulate([row["line"] for row in rows], headers="keys", tablefmt="github"))
 
 
-def _measure_one(fleet: Fleet, scenario: Scenario, policy: str, seed: int) -> dict[str, Any]:
+def _measure_policy(fleet: Fleet, scenario: Scenario, policy: str, seed: int) -> dict[str, Any]:
     fleet.require("settings", "set", "/policy/routing", policy)
     time.sleep(1.0)
     name = f"{scenario.name}-{policy}-{seed}-{time.monotonic_ns()}"
     before = read_processor_times()
     outcomes = run_once(fleet, scenario, name, seed)
-    stolen = read_processor_times().stolen_share(before)
-    doubled, false = count_false(fleet, outcomes)
+    steal = read_processor_times().steal_share(before)
+    duplicates, false_refusals = count_at_most_once_violations(fleet, outcomes)
     summaries = {summary.name: summary for summary in summarize(outcomes)}
     line = {"scenario": scenario.name, "policy": policy, "seed": seed}
-    line |= _describe(summaries, doubled, false) | {"stolen %": round(100 * stolen, 1)}
+    line |= _describe(summaries, duplicates, false_refusals) | {"stolen %": round(100 * steal, 1)}
     classes = {key: asdict(summary) for key, summary in summaries.items()}
     return {"line": line, "classes": classes}
 
 
-def _describe(summaries: dict[str, ClassSummary], doubled: int, false: int) -> dict[str, Any]:
+def _describe(
+    summaries: dict[str, ClassSummary], duplicates: int, false_refusals: int
+) -> dict[str, Any]:
     overall = summaries["all"]
     return {
         "sent": overall.sent,
@@ -253,8 +274,8 @@
         "statement p50 ms": round(1000 * summaries["statement"].median),
         "statement p99 ms": round(1000 * summaries["statement"].p99),
         "lookup p99 ms": round(1000 * summaries["lookup"].p99),
-        "doubled": doubled,
-        "false not run": false,
+        "doubled": duplicates,
+        "false not run": false_refusals,
     }
 
 
--- a/packages/damsonlane_bench/src/damsonlane_bench/routes.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/routes.py
@@ -1,4 +1,4 @@
-"""A small system that serves routes, and its demonstration."""
+"""Small fleet that serves routes, and its demonstration: ``python -m damsonlane_bench.routes``."""
 
 import dataclasses
 import http.client
@@ -15,11 +15,11 @@
 from damsonlane_bench.registered import Kind
 from damsonlane_bench.registered._target import EVENTS
 
-#: Key of the only organisation.
+#: Caller key of the only organisation.
 CALLER_KEY: Final = "florists-key"
-#: Seconds for which a caller waits.
-_CALLER_SECONDS: Final = 20.0
-#: Targets: name, service and kind.
+#: Timeout of callers, in seconds.
+_CALLER_TIMEOUT_SECONDS: Final = 20.0
+#: Targets of the demonstration: name, service and kind.
 _TARGETS: Final[tuple[tuple[str, str, Kind], ...]] = (
     ("desk-1", "desk", "plain"),
     ("desk-2", "desk", "plain"),
@@ -32,10 +32,10 @@
 
 
 class RoutesFleet:
-    """Control replicas, entries and targets; use as a context manager.
+    """Processes of control replicas, entries and targets; a context manager that kills them.
 
     Args:
-        folder: takes settings, data and logs.
+        folder: receives settings, data and logs.
         controls: names of the control replicas.
         entries: names of the entries.
         targets: names of the targets.
@@ -68,14 +68,14 @@
                 process.kill()
 
     def start(self, name: str, *, is_first_start: bool = False) -> None:
-        """Start a box."""
+        """Start a control replica or an entry."""
         path = self.folder / f"{name}.json"
         path.write_text(json.dumps(self._make_settings(name, is_first_start)))
         command = [find_program("damsonlaned"), f"--settings={path}"]
         self.processes[name] = Process(name, command, self.folder / f"{name}.log")
 
     def start_target(self, name: str, service: str, kind: Kind) -> None:
-        """Start a target."""
+        """Start a target that registers itself."""
         registries = ";".join(self.addresses[f"{control}/front"] for control in self.controls)
         command = [
             *(sys.executable, "-m", "damsonlane_bench.registered"),
@@ -87,24 +87,29 @@
         self.processes[name] = Process(name, command, self.folder / f"{name}.log")
 
     def put_document(self, version: int, **changes: Any) -> None:
-        """Send a routing document until a control box takes it."""
+        """Send a routing document until a control replica accepts it.
+
+        Args:
+            version: version of the document.
+            changes: top-level fields that replace those of `make_document`.
+        """
         text = json.dumps({**make_document(), "version": version, **changes})
-        wait_until(lambda: self._put(text) == 200, f"version {version} is taken")
+        wait_until(lambda: self._put(text) == 200, f"version {version} is accepted")
 
     def try_document(self, version: int) -> bool:
-        """Send a routing document once; tell whether a control box took it."""
+        """Send a routing document once and return whether a control replica accepted it."""
         try:
             return self._put(json.dumps({**make_document(), "version": version})) == 200
         except (OSError, http.client.HTTPException):
             return False
 
     def read_version(self, control: str) -> int:
-        """Return the version that a control box reads back, 0 when it can't say."""
+        """Return the document version that a control replica reads; 0 if it refuses the read."""
         response = send("GET", f"http://{self.addresses[f'{control}/front']}/v1/routes")
         return int(response.body.get("version", 0)) if response.status == 200 else 0
 
     def is_ready(self, entry: str) -> bool:
-        """Tell whether an entry takes requests."""
+        """Return whether an entry is ready for requests."""
         try:
             return send("GET", f"http://{self.addresses[f'{entry}/ready']}/readyz").status == 200
         except OSError:
@@ -113,9 +118,12 @@
     def call(
         self, entry: str, path: str, request_id: str, *, body: bytes = b"", **headers: str
     ) -> tuple[int, bytes]:
-        """Return status and body of a request; an answer that breaks off has status 0."""
+        """Send a request and return the status and body of its response.
+
+        The status is 0 if no response arrives or if it is interrupted.
+        """
         connection = http.client.HTTPConnection(
-            self.addresses[f"{entry}/front"], timeout=_CALLER_SECONDS
+            self.addresses[f"{entry}/front"], timeout=_CALLER_TIMEOUT_SECONDS
         )
         sent = {
             "Host": "shop.example",
@@ -133,29 +141,29 @@
         finally:
             connection.close()
 
-    def read_ran(self, target: str) -> list[str]:
-        """Return the ids of the requests that a target ran."""
+    def read_run_ids(self, target: str) -> list[str]:
+        """Return the ids of the requests that a target ran, in order."""
         connection = http.client.HTTPConnection(
-            self.addresses[f"{target}/front"], timeout=_CALLER_SECONDS
+            self.addresses[f"{target}/front"], timeout=_CALLER_TIMEOUT_SECONDS
         )
         connection.request("GET", "/ran")
-        ran = json.loads(connection.getresponse().read())
+        run_ids = json.loads(connection.getresponse().read())
         connection.close()
-        return [str(name) for name in ran]
+        return [str(name) for name in run_ids]
 
-    def read_log_lines(self, word: str) -> list[str]:
-        """Return the log lines of all boxes with a word in them, and all warnings."""
+    def read_log_lines(self, text: str) -> list[str]:
+        """Return the log lines of all boxes that contain a text, and all warnings and errors."""
         return [
             f"   {name}: {line}"
             for name in (*self.entries, *self.controls)
             for line in (self.folder / f"{name}.log").read_text().splitlines()
-            if word in line or '"WARNING"' in line or '"ERROR"' in line
+            if text in line or '"WARNING"' in line or '"ERROR"' in line
         ]
 
     def _put(self, text: str) -> int:
         for control in self.controls:
             connection = http.client.HTTPConnection(
-                self.addresses[f"{control}/front"], timeout=_CALLER_SECONDS
+                self.addresses[f"{control}/front"], timeout=_CALLER_TIMEOUT_SECONDS
             )
             try:
                 connection.request("PUT", "/v1/routes", body=text.encode())
@@ -239,20 +247,20 @@
 
 
 class RoutesDemonstration:
-    """Runs the steps and remembers which did not hold."""
+    """Runs the steps of the demonstration and collects the checks that failed."""
 
     def __init__(self, fleet: RoutesFleet) -> None:
         self._fleet: Final = fleet
-        self.faults: list[str] = []
+        self.failures: list[str] = []
 
     def run(self) -> None:
-        """Run all steps."""
+        """Run all steps on a fleet that has not been started."""
         self._start()
-        self._answer()
-        self._lose_a_control_box()
-        self._let_a_target_leave()
-        self._lose_an_engine()
-        self._stop_an_entry()
+        self._send_requests()
+        self._kill_control_replica()
+        self._drain_target()
+        self._kill_engine()
+        self._stop_entry()
 
     def _start(self) -> None:
         fleet = self._fleet
@@ -266,8 +274,8 @@
         fleet.put_document(1)
         for entry in fleet.entries:
             wait_until(lambda entry=entry: fleet.is_ready(entry), f"{entry} is ready")  # type: ignore[misc]
-        wait_until(lambda: self._is_served("ping"), "the plain targets are known")
-        wait_until(lambda: self._is_served("chat"), "the engines and pools are known")
+        wait_until(lambda: self._is_served("ping"), "all entries serve the plain targets")
+        wait_until(lambda: self._is_served("chat"), "all entries serve the engines and pools")
 
     def _is_served(self, route: str) -> bool:
         return all(
@@ -282,81 +290,84 @@
             entry, path, request_id, Damsonlane_Pieces="2,3", Damsonlane_Material_Key="demo"
         )
 
-    def _answer(self) -> None:
+    def _send_requests(self) -> None:
         status, body = self._call("entry-1", "refund", "refund-1")
         self._check(status == 200, f"a refund is confirmed: {body.decode()}")
         status, body = self._call("entry-2", "chat", "chat-1")
-        self._check(_is_whole_stream(status, body), f"a stream of {EVENTS} events comes whole")
+        self._check(_is_complete_stream(status, body), f"a stream of {EVENTS} events is complete")
         status, body = self._fleet.call("entry-1", "/nowhere/a", "lost-1")
         self._check(status == 404, f"an unknown path is refused: {body.decode()}")
 
-    def _lose_a_control_box(self) -> None:
+    def _kill_control_replica(self) -> None:
         fleet = self._fleet
         fleet.processes["control-1"].kill()
         fleet.put_document(2)
         for control in ("control-2", "control-3"):
-            wait_until(lambda control=control: fleet.read_version(control) == 2, "2 is read back")  # type: ignore[misc]
+            wait_until(lambda control=control: fleet.read_version(control) == 2, "it has version 2")  # type: ignore[misc]
         status, _ = self._call("entry-1", "ping", "ping-1")
-        self._check(status == 200, "a control box is lost: changes and requests go on")
+        self._check(status == 200, "a control replica is killed: changes and requests succeed")
         fleet.start("control-1")
 
-    def _let_a_target_leave(self) -> None:
+    def _drain_target(self) -> None:
         fleet = self._fleet
-        before = len(fleet.read_ran("desk-2"))
+        before = len(fleet.read_run_ids("desk-2"))
         fleet.processes["desk-1"].terminate()
-        answers = [self._call("entry-1", "refund", f"leaving-{number}")[0] for number in range(40)]
-        self._check(answers == [200] * 40, "a target leaves: all refunds are confirmed")
-        self._check(len(fleet.read_ran("desk-2")) > before, "the other target serves them")
+        statuses = [self._call("entry-1", "refund", f"leaving-{number}")[0] for number in range(40)]
+        self._check(statuses == [200] * 40, "a target drains: all refunds are confirmed")
+        self._check(len(fleet.read_run_ids("desk-2")) > before, "the other target serves them")
         fleet.processes["desk-1"].wait()
 
-    def _lose_an_engine(self) -> None:
+    def _kill_engine(self) -> None:
         fleet = self._fleet
         results: list[tuple[int, bytes]] = []
         caller = _start_thread(lambda: results.append(self._call("entry-2", "chat", "chat-2")))
-        fleet.processes[self._wait_for_holder("chat-2")].kill()
+        fleet.processes[self._wait_for_engine("chat-2")].kill()
         caller.join()
         status, body = results[0]
-        is_whole = _is_whole_stream(status, body)
-        self._check(is_whole, "an engine dies: its stream is resumed")
-        if not is_whole:
-            print(f"   status {status}, {len(body)} bytes; what the boxes logged of it:")
+        is_complete = _is_complete_stream(status, body)
+        self._check(is_complete, "an engine is killed: its stream is resumed")
+        if not is_complete:
+            print(f"   status {status}, {len(body)} bytes; log lines of the boxes:")
             print(*fleet.read_log_lines("chat-2"), sep="\n")
 
-    def _wait_for_holder(self, request_id: str) -> str:
+    def _wait_for_engine(self, request_id: str) -> str:
         """Wait until an engine runs a request and return its name."""
         engines = [name for name, _, kind in _TARGETS if kind == "engine"]
         wait_until(
-            lambda: any(request_id in self._ran(name) for name in engines), f"{request_id} runs"
+            lambda: any(request_id in self._read_run_ids(name) for name in engines),
+            f"{request_id} runs",
         )
-        return next(name for name in engines if request_id in self._ran(name))
+        return next(name for name in engines if request_id in self._read_run_ids(name))
 
-    def _ran(self, target: str) -> list[str]:
+    def _read_run_ids(self, target: str) -> list[str]:
         try:
-            return self._fleet.read_ran(target)
+            return self._fleet.read_run_ids(target)
         except OSError:
             return []
 
-    def _stop_an_entry(self) -> None:
+    def _stop_entry(self) -> None:
         fleet = self._fleet
         results: list[tuple[int, bytes]] = []
         caller = _start_thread(lambda: results.append(self._call("entry-1", "chat", "chat-3")))
-        self._wait_for_holder("chat-3")
+        self._wait_for_engine("chat-3")
         fleet.processes["entry-1"].terminate()
-        wait_until(lambda: not fleet.is_ready("entry-1"), "entry-1 says that it takes no more")
+        wait_until(lambda: not fleet.is_ready("entry-1"), "entry-1 is not ready any more")
         caller.join()
         status, body = results[0]
-        self._check(_is_whole_stream(status, body), "an entry stops: the stream in it comes whole")
+        self._check(
+            _is_complete_stream(status, body), "an entry stops: its stream in flight is complete"
+        )
         code = fleet.processes["entry-1"].wait()
         self._check(code == 0, f"entry-1 stopped with code {code}")
 
-    def _check(self, holds: bool, what: str) -> None:
-        print(f"{'ok ' if holds else 'BAD'} {what}")
-        if not holds:
-            self.faults.append(what)
+    def _check(self, passed: bool, description: str) -> None:
+        print(f"{'ok ' if passed else 'BAD'} {description}")
+        if not passed:
+            self.failures.append(description)
 
 
-def _is_whole_stream(status: int, body: bytes) -> bool:
-    """Tell whether a stream holds each event once, in order."""
+def _is_complete_stream(status: int, body: bytes) -> bool:
+    """Return whether a response is a stream with each event once, in order."""
     expected = "".join(f"id: {number}\ndata: token {number}\n\n" for number in range(1, EVENTS + 1))
     return status == 200 and body.decode() == expected
 
@@ -368,13 +379,13 @@
 
 
 def main() -> int:
-    """Run the demonstration; the exit code tells whether all of it held."""
+    """Run the demonstration and return the exit code: 0 if all checks passed."""
     began_at = time.monotonic()
     with tempfile.TemporaryDirectory() as folder, RoutesFleet(Path(folder)) as fleet:
         demonstration = RoutesDemonstration(fleet)
         demonstration.run()
-    print(f"{time.monotonic() - began_at:.1f} s in all; {len(demonstration.faults)} faults")
-    return 1 if demonstration.faults else 0
+    print(f"{time.monotonic() - began_at:.1f} s; {len(demonstration.failures)} failed checks")
+    return 1 if demonstration.failures else 0
 
 
 if __name__ == "__main__":
--- a/packages/damsonlane_bench/src/damsonlane_bench/settings_trees.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/settings_trees.py
@@ -1,20 +1,25 @@
-"""Settings trees for the demonstration and for tests."""
+"""Parts of settings trees for demonstrations, measurements and tests."""
 
 import hashlib
 from collections.abc import Mapping
 from typing import Any, Final
 
-#: Stages of a whole pipeline, in order.
+#: Stages of a complete pipeline, in order.
 STAGES: Final = ("encode", "retrieve", "rerank", "generate")
 
 
 def digest_token(token: str) -> str:
-    """Return the digest of a token, as settings hold it."""
+    """Return the digest of a token as settings store it."""
     return hashlib.sha256(token.encode()).hexdigest()
 
 
 def make_services(addresses: Mapping[str, str], data_centre: str) -> dict[str, Any]:
-    """Return services from the addresses of stand-ins named ``service-number``."""
+    """Return the settings of the services of stand-ins.
+
+    Args:
+        addresses: addresses of the stand-ins by their names, ``service-number``.
+        data_centre: data centre of all stand-ins.
+    """
     services: dict[str, Any] = {}
     for name, address in addresses.items():
         service = name.rpartition("-")[0]
@@ -27,7 +32,13 @@
 
 
 def make_pipeline(*stages: str, repeatable: bool = True, **policy: Any) -> dict[str, Any]:
-    """Return a pipeline whose stages run at services of the same names."""
+    """Return the settings of a pipeline whose stages run at services of the same names.
+
+    Args:
+        stages: names of the stages, in order.
+        repeatable: whether a request may run more than once.
+        policy: policy settings of the pipeline.
+    """
     return {
         "stages": [{"name": stage, "service": stage} for stage in stages],
         "repeatable": repeatable,
--- a/packages/damsonlane_bench/src/damsonlane_bench/tests/test_control.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/tests/test_control.py
@@ -1,4 +1,4 @@
-"""Control with real processes: kills, freezes, wiped folders and replacements."""
+"""Control replicas as real processes that are killed, suspended, wiped and replaced."""
 
 import json
 import tempfile
@@ -11,7 +11,7 @@
 
 
 class ControlTest(unittest.TestCase):
-    """Each test starts a group of its own."""
+    """Each test starts a control group of its own."""
 
     def setUp(self) -> None:
         scratch = tempfile.TemporaryDirectory()
@@ -19,87 +19,87 @@
         self.fleet = Fleet(Path(scratch.name), entries=1)
         self.addCleanup(self.fleet.stop_all)
         self.fleet.start_control_group()
-        self.operators = OperatorLoop(self.fleet)
-        self.addCleanup(self.operators.close)
+        self.operator = OperatorLoop(self.fleet)
+        self.addCleanup(self.operator.close)
 
-    def _leader(self) -> Box:
+    def _find_leader(self) -> Box:
         found: list[Box] = []
 
-        def is_found() -> bool:
+        def has_one_leader() -> bool:
             found[:] = [
                 self.fleet.boxes[status.box]
-                for status in self.operators.statuses()
+                for status in self.operator.statuses()
                 if status.standing == "leader"
             ]
             return len(found) == 1
 
-        wait_until(is_found, "one replica leads")
+        wait_until(has_one_leader, "exactly one replica is leader")
         return found[0]
 
-    def _require_history(self) -> None:
-        """Check that every accepted change is read back, in its place."""
-        history = self.operators.history()
-        found = {change.version: change.change for change in history}
+    def _check_history(self) -> None:
+        """Check that the history has each accepted change once, at the version of its reply."""
+        history = self.operator.history()
+        changes = {change.version: change.change for change in history}
         self.assertEqual(
-            {v: found.get(v) for v in self.operators.accepted}, self.operators.accepted
+            {v: changes.get(v) for v in self.operator.accepted}, self.operator.accepted
         )
-        self.assertEqual(len(found), len(set(found.values())), "a change was applied twice")
+        self.assertEqual(len(changes), len(set(changes.values())), "a change was applied twice")
 
-    def test_killed_leader_loses_no_accepted_change(self) -> None:
+    def test_no_accepted_change_is_lost_when_the_leader_is_killed(self) -> None:
         for _ in range(3):
-            self.operators.change(15)
-            leader = self._leader()
-            self.operators.start_changing(30)
+            self.operator.change(15)
+            leader = self._find_leader()
+            self.operator.start_changing(30)
             self.fleet.kill(leader.name)
-            self.operators.finish_changing()
+            self.operator.finish_changing()
             self.fleet.start(leader.name)
             self.fleet.wait_listening(leader)
-        self._require_history()
+        self._check_history()
 
-    def test_frozen_leader_neither_reverts_nor_answers_as_current(self) -> None:
-        self.operators.change(5)
-        leader = self._leader()
+    def test_a_suspended_leader_neither_reverts_changes_nor_returns_stale_versions(self) -> None:
+        self.operator.change(5)
+        leader = self._find_leader()
         self.fleet.processes[leader.name].freeze()
-        self.operators.change(5)
+        self.operator.change(5)
         self.fleet.processes[leader.name].thaw()
-        version = self.operators.version_at(leader)
-        self.assertGreaterEqual(version, max(self.operators.accepted))
-        self._require_history()
+        version = self.operator.version_at(leader)
+        self.assertGreaterEqual(version, max(self.operator.accepted))
+        self._check_history()
 
-    def test_wiped_box_waits_and_replacing_it_loses_nothing_when_another_dies(self) -> None:
-        self.operators.change(10)
+    def test_replacing_a_wiped_replica_loses_no_change_when_another_one_is_killed(self) -> None:
+        self.operator.change(10)
         first, second, third = self.fleet.controls()
-        old = self.operators.status(third).replica
+        old = self.operator.status(third).replica
         self.fleet.kill(third.name)
         self.fleet.wipe(third.name)
-        self.operators.change(5)
+        self.operator.change(5)
         self.fleet.start(third.name)
         self.fleet.wait_listening(third)
-        status = self.operators.status(third)
+        status = self.operator.status(third)
         self.assertNotEqual(status.replica, old)
         self.assertEqual(status.cluster, "")
-        self.operators.start_changing(20)
+        self.operator.start_changing(20)
         self.fleet.require("control", "replace", old, third.internal_address)
-        self.operators.finish_changing()
+        self.operator.finish_changing()
         self.fleet.kill(second.name)
-        self.operators.change(5)
-        self._require_history()
+        self.operator.change(5)
+        self._check_history()
 
-    def test_all_killed_at_once_come_back_to_the_current_version(self) -> None:
-        self.operators.change(500)
+    def test_all_replicas_recover_the_current_version_after_they_were_killed_at_once(self) -> None:
+        self.operator.change(500)
         for box in self.fleet.controls():
             self.fleet.kill(box.name)
         for box in self.fleet.controls():
             self.fleet.start(box.name)
-        self.operators.change(1)
-        self.assertEqual(max(self.operators.accepted), 501)
-        self._require_history()
+        self.operator.change(1)
+        self.assertEqual(max(self.operator.accepted), 501)
+        self._check_history()
 
-    def test_two_operators_with_equal_versions_have_one_winner(self) -> None:
-        outcomes = self.operators.race(2)
+    def test_one_of_two_concurrent_changes_of_the_same_version_is_accepted(self) -> None:
+        outcomes = self.operator.race(2)
         self.assertEqual(sorted(outcomes), ["change-accepted", "change-conflict"])
 
-    def test_a_data_centre_is_evacuated_listed_and_restored(self) -> None:
+    def test_an_evacuated_data_centre_is_listed_until_it_is_restored(self) -> None:
         self.assertIn(
             "johar is evacuated\n", self.fleet.require("data-centre", "evacuate", "johar")
         )
@@ -115,13 +115,13 @@
         self.fleet.require("data-centre", "restore", "johar")
         self.assertEqual(json.loads(self.fleet.require("data-centre", "list", "--json")), [])
 
-    def test_a_peer_without_a_key_gets_nothing(self) -> None:
+    def test_a_client_without_tls_gets_no_answer(self) -> None:
         box = self.fleet.controls()[0]
-        self.assertFalse(self.operators.answers_without_key(box))
+        self.assertFalse(self.operator.answers_without_tls(box))
 
-    def test_an_entry_is_ready_only_after_a_confirmed_version(self) -> None:
+    def test_an_entry_is_ready_only_once_control_confirmed_a_version(self) -> None:
         first, second, _ = self.fleet.controls()
-        self.operators.change(3)
+        self.operator.change(3)
         self.fleet.kill(first.name)
         self.fleet.kill(second.name)
         entry = self.fleet.entries()[0]
--- a/packages/damsonlane_bench/src/damsonlane_bench/tests/test_crash_pipelines.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/tests/test_crash_pipelines.py
@@ -1,9 +1,7 @@
-"""The input of a pipeline that no target survives, sent again and again by its caller.
+"""Input of a pipeline on which every target exits, sent repeatedly by its caller.
 
-The entry that serves pipelines limits what one request costs, as the one that serves routes
-does, and it forgot with the request what that did to targets; so the same caller ended two
-targets a try here as well.  Targets of pipelines have fixed names and tell no start, so their
-ends are told apart by when they came.
+Entries that serve pipelines must quarantine it as those that serve routes do.  Targets of pipelines
+have fixed names and no incarnation, so their exits are told apart by their times.
 """
 
 import functools
@@ -18,15 +16,15 @@
 from damsonlane_bench.standin._server import DEADLY
 
 TOKEN = "north-token"
-#: Times that the caller sends its request again.
-TRIES = 6
-#: Targets that may end under one request: three before it is known, and one that got it while
-#: word of the third was on its way.
-MOST_ENDS = 4
+#: Number of times that the caller sends the request.
+REQUEST_COUNT = 6
+#: Maximum number of targets that may exit on the request: three until it is quarantined, and one
+#: that got it while the report of the third exit was on its way.
+MAX_EXITS = 4
 TARGETS = ("lookup-1", "lookup-2", "lookup-3")
 
 
-class DeadlyPipelineTest(unittest.TestCase):
+class CrashPipelineTest(unittest.TestCase):
     def setUp(self) -> None:
         scratch = tempfile.TemporaryDirectory()
         self.addCleanup(scratch.cleanup)
@@ -45,21 +43,21 @@
             },
         }
         self.fleet.apply_tree(tree)
-        self.ends: Counter[str] = Counter()
+        self.exits: Counter[str] = Counter()
 
-    def test_it_ends_three_targets_and_hardly_more(self) -> None:
-        answers = [self._send(number, DEADLY) for number in range(TRIES)]
-        told = [(answer.status, answer.body) for answer in answers]
-        self.assertLessEqual(self.ends.total(), MOST_ENDS, told)
-        self.assertEqual({answer.status for answer in answers[MOST_ENDS:]}, {503}, told)
-        for answer in answers[MOST_ENDS:]:
-            self.assertEqual(answer.body["run"], "no")
+    def test_it_is_quarantined_until_an_operator_releases_it(self) -> None:
+        responses = [self._send(number, DEADLY) for number in range(REQUEST_COUNT)]
+        received = [(response.status, response.body) for response in responses]
+        self.assertLessEqual(self.exits.total(), MAX_EXITS, received)
+        self.assertEqual({response.status for response in responses[MAX_EXITS:]}, {503}, received)
+        for response in responses[MAX_EXITS:]:
+            self.assertEqual(response.body["run"], "no")
         for number in range(4):
             self.assertEqual(self._send(number, f"something else {number}").status, 200)
         self._release()
 
     def _release(self) -> None:
-        """An operator lists the request and releases it; a typing error is told."""
+        """List and release the request as an operator; an unknown fingerprint is refused."""
         rows = json.loads(self.fleet.require("quarantine", "list", "--json"))
         self.assertEqual([row["ends"] >= 3 for row in rows], [True])
         fingerprint = rows[0]["fingerprint"]
@@ -70,14 +68,14 @@
 
     def _send(self, number: int, text: str) -> Response:
         entry = self.fleet.entries()[number % 2].name
-        answer = self.fleet.call(entry, "lookup", text, token=TOKEN)
+        response = self.fleet.call(entry, "lookup", text, token=TOKEN)
         for name in TARGETS:
             if not self.fleet.processes[name].is_running():
-                self.ends[name] += 1
+                self.exits[name] += 1
                 self.fleet.start_standin(name)
         for name in TARGETS:
-            wait_until(functools.partial(self._answers, name), f"{name} is back")
-        return answer
+            wait_until(functools.partial(self._answers, name), f"{name} serves again")
+        return response
 
     def _answers(self, name: str) -> bool:
         return send("GET", f"http://{self.fleet.standins[name]}/executions").status == 200
--- a/packages/damsonlane_bench/src/damsonlane_bench/tests/test_crash_requests.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/tests/test_crash_requests.py
@@ -1,25 +1,9 @@
-"""A request that no target survives, sent again and again by its caller.
-
-On an afternoon in December one request ended 22 engines in ten seconds.  Each engine died
-about 0.1 s after it began to run it; its caller sent it again under a new id, to whichever
-entry the balancer chose, and that entry knew nothing of the earlier tries.  Each try was
-within its route's limit of two targets, and the fleet's budget of repeats was kept, since a
-caller's next try is no repeat to it.  Meanwhile one request in ten to the engines was refused
-or broken off: up to seventeen streams died with each engine.
-
-What settled it were the lines "accepted" and "not served" of the eight entries.  The same
-fingerprint stood among what broke off in all seventeen ends that the logs still held, under
-eleven ids at five entries, none with more than two offers; no other stood in more than three:
-
-    43.351  first entry    not served  0.640 s after it was sent to one engine
-    44.143  second entry   not served  0.216 s after it was sent to the next
-    44.303  second entry   not served  0.155 s, a third engine
-    45.982  third entry    not served  0.252 s, a fourth
-    46.574  fourth entry   not served  0.202 s, a fifth
-
-So what a request has done to targets must be known at all entries, survive them, and count
-whatever brings the request to a target: the first offer of a new try, the second of the
-same one, a stream taken up elsewhere, or one of its pieces in a stage pool.
+"""A request on which every target exits, sent repeatedly by its caller under new ids.
+
+Its caller sends it to any entry, and each attempt is within the limits of its route and of the
+retry budget.  So all entries must know which targets a request has crashed, also after a restart,
+and count whatever brings it to a target: the first attempt or a retry, a resumed stream, or one of
+its pieces in a stage pool.
 """
 
 import http.client
@@ -36,12 +20,12 @@
 from damsonlane_bench.registered._target import DEADLY, EVENTS
 from damsonlane_bench.routes import RoutesFleet, make_document
 
-#: Times that the caller sends its request again.
-TRIES = 8
-#: Targets that may end under one request: three before it is known, and one that got it
-#: while word of the third was on its way.
-MOST_ENDS = 4
-#: Seconds after which the supervisor of the targets starts one again.
+#: Number of times that the caller sends the request.
+REQUEST_COUNT = 8
+#: Maximum number of targets that may exit on the request: three until it is quarantined, and one
+#: that got it while the report of the third exit was on its way.
+MAX_EXITS = 4
+#: Seconds after which the supervisor restarts a target.
 RESTART_SECONDS = 0.3
 TARGETS: tuple[tuple[str, str, Kind], ...] = (
     ("model-1", "model", "engine"),
@@ -54,10 +38,10 @@
 
 
 class Supervisor:
-    """Starts targets again when their process has ended, and counts that by service."""
+    """Restarts targets whose process exited, and counts the exits by service."""
 
     def __init__(self, fleet: RoutesFleet) -> None:
-        self.ends: Counter[str] = Counter()
+        self.exits: Counter[str] = Counter()
         self._fleet = fleet
         self._stopped = Event()
         self._thread = Thread(target=self._watch)
@@ -75,12 +59,12 @@
         while not self._stopped.wait(0.02):
             for name, service, kind in TARGETS:
                 if not self._fleet.processes[name].is_running():
-                    self.ends[service] += 1
+                    self.exits[service] += 1
                     self._stopped.wait(RESTART_SECONDS)
                     self._fleet.start_target(name, service, kind)
 
 
-class DeadlyRequestTest(unittest.TestCase):
+class CrashRequestTest(unittest.TestCase):
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -97,72 +81,74 @@
         self.fleet.put_document(1, routes=routes)
         for entry in self.fleet.entries:
             wait_until(lambda entry=entry: self.fleet.is_ready(entry), f"{entry} is ready")  # type: ignore[misc]
-        wait_until(self._are_targets_known, "the targets are known")
+        wait_until(self._are_routes_served, "all entries serve both routes")
 
-    def test_a_request_that_ends_plain_targets_and_engines(self) -> None:
+    def test_a_request_that_crashes_plain_targets_and_engines(self) -> None:
         for route, service in (("ping", "desk"), ("chat", "model")):
-            statuses = [self._send_deadly(number, route) for number in range(TRIES)]
-            self.assertLessEqual(self.supervisor.ends[service], MOST_ENDS, statuses)
-            self.assertEqual(set(statuses[MOST_ENDS:]), {503}, statuses)
-            self._check_others(route)
-
-    def test_a_request_whose_pieces_end_targets_of_a_pool(self) -> None:
-        statuses = [self._send_deadly(n, "chat", key=DEADLY) for n in range(TRIES)]
-        self.assertLessEqual(self.supervisor.ends["encode"], MOST_ENDS, statuses)
+            statuses = [self._send_crash_request(number, route) for number in range(REQUEST_COUNT)]
+            self.assertLessEqual(self.supervisor.exits[service], MAX_EXITS, statuses)
+            self.assertEqual(set(statuses[MAX_EXITS:]), {503}, statuses)
+            self._check_other_requests(route)
+
+    def test_a_request_whose_pieces_crash_pool_targets(self) -> None:
+        statuses = [self._send_crash_request(n, "chat", key=DEADLY) for n in range(REQUEST_COUNT)]
+        self.assertLessEqual(self.supervisor.exits["encode"], MAX_EXITS, statuses)
         self.assertEqual(set(statuses), {503})
-        self._check_others("chat")
+        self._check_other_requests("chat")
 
-    def test_it_is_known_after_all_boxes_lost_power(self) -> None:
-        before = [self._send_deadly(number, "ping") for number in range(MOST_ENDS)]
-        ends = self.supervisor.ends["desk"]
+    def test_the_quarantine_survives_a_kill_of_all_boxes(self) -> None:
+        before = [self._send_crash_request(number, "ping") for number in range(MAX_EXITS)]
+        exits_before = self.supervisor.exits["desk"]
         for name in (*self.fleet.controls, *self.fleet.entries):
             self.fleet.processes[name].kill()
         for name in (*self.fleet.controls, *self.fleet.entries):
             self.fleet.start(name)
         for entry in self.fleet.entries:
             wait_until(lambda entry=entry: self.fleet.is_ready(entry), f"{entry} is ready")  # type: ignore[misc]
-        after = [self._send_deadly(number, "ping") for number in range(TRIES)]
-        self.assertLessEqual(self.supervisor.ends["desk"], MOST_ENDS, (before, after))
-        self.assertLessEqual(self.supervisor.ends["desk"] - ends, MOST_ENDS - 3, (before, after))
-        self._check_others("ping")
+        after = [self._send_crash_request(number, "ping") for number in range(REQUEST_COUNT)]
+        self.assertLessEqual(self.supervisor.exits["desk"], MAX_EXITS, (before, after))
+        self.assertLessEqual(
+            self.supervisor.exits["desk"] - exits_before, MAX_EXITS - 3, (before, after)
+        )
+        self._check_other_requests("ping")
 
-    def _check_others(self, route: str) -> None:
-        """Other requests of the same caller and path are served whole."""
+    def _check_other_requests(self, route: str) -> None:
+        """Check that other requests of the same caller and path get complete responses."""
         for number in range(6):
             status = self._call(number, route, body=b"another %d" % number)
             self.assertEqual(status, 200)
 
     def _call(self, number: int, route: str, *, body: bytes, key: str = "demo") -> int:
-        """Send a request to one of the entries by turns; return its status, 0 if cut off."""
+        """Send a request to an entry by turns; return its status, 0 if its stream is incomplete."""
         entry = self.fleet.entries[number % len(self.fleet.entries)]
         headers: dict[str, Any] = {"Damsonlane_Pieces": "1,1", "Damsonlane_Material_Key": key}
         request_id = f"{route}-{time.monotonic_ns()}"
         status, data = self.fleet.call(
             entry, f"/{route}/a", request_id, body=body, **(headers if route == "chat" else {})
         )
-        is_whole = route != "chat" or data.count(b"data: token") == EVENTS
-        return 0 if status == 200 and not is_whole else status
+        is_complete = route != "chat" or data.count(b"data: token") == EVENTS
+        return 0 if status == 200 and not is_complete else status
 
-    def _are_targets_known(self) -> bool:
+    def _are_routes_served(self) -> bool:
         return all(
             self._call(number, route, body=b"hello") == 200
             for number in range(len(self.fleet.entries))
             for route in ("ping", "chat")
         )
 
-    def _send_deadly(self, number: int, route: str, *, key: str = "") -> int:
-        """Send the deadly request; return its status once all targets are back and known."""
+    def _send_crash_request(self, number: int, route: str, *, key: str = "") -> int:
+        """Send the crash request; return its status once all targets serve again."""
         body = b"its pieces are deadly" if key else DEADLY.encode()
         status = self._call(number, route, body=body, key=key or "demo")
-        wait_until(self._are_all_back, "all targets are back")
+        wait_until(self._are_targets_back, "all targets serve again")
         return status
 
-    def _are_all_back(self) -> bool:
-        return all(self._answers(name) for name, _, _ in TARGETS) and self._are_targets_known()
+    def _are_targets_back(self) -> bool:
+        return all(self._answers(name) for name, _, _ in TARGETS) and self._are_routes_served()
 
     def _answers(self, name: str) -> bool:
         try:
-            return isinstance(self.fleet.read_ran(name), list)
+            return isinstance(self.fleet.read_run_ids(name), list)
         except (OSError, http.client.HTTPException):
             return False
 
--- a/packages/damsonlane_bench/src/damsonlane_bench/tests/test_end_to_end.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/tests/test_end_to_end.py
@@ -1,4 +1,4 @@
-"""The whole path, with real processes: what the demonstration shows must hold."""
+"""Demonstration of pipelines with real processes, and its cost report."""
 
 import json
 import tempfile
@@ -10,34 +10,34 @@
 from damsonlane_bench.fleet import Fleet, send, wait_until
 
 
-class WholePathTest(unittest.TestCase):
-    def test_demonstration_holds_and_its_bill_is_what_the_targets_did(self) -> None:
+class EndToEndTest(unittest.TestCase):
+    def test_demonstration_passes_and_its_costs_match_what_the_targets_ran(self) -> None:
         with tempfile.TemporaryDirectory() as folder, Fleet(Path(folder)) as fleet:
             demonstration = Demonstration(fleet)
             demonstration.run()
-            done = _read_done(fleet)
-            wait_until(lambda: _read_billed(fleet) == done, f"the bill says {done}")
+            executed = _read_executed(fleet)
+            wait_until(lambda: _read_reported(fleet) == executed, f"the report says {executed}")
             codes = [fleet.stop(name) for name in ("entry-1", "entry-2", "control-1")]
-        self.assertEqual((demonstration.faults, codes), ([], [0, 0, 0]))
+        self.assertEqual((demonstration.failures, codes), ([], [0, 0, 0]))
 
 
-def _read_done(fleet: Fleet) -> Counter[str]:
-    """Return executions by stage, and tokens, as the stand-ins counted them."""
-    done: Counter[str] = Counter()
+def _read_executed(fleet: Fleet) -> Counter[str]:
+    """Return the executions by stage and the tokens that the stand-ins counted."""
+    executed: Counter[str] = Counter()
     for name, address in fleet.standins.items():
         body = send("GET", f"http://{address}/executions").body
-        done[name.rpartition("-")[0]] += sum(item["count"] for item in body["executions"])
-        done["tokens"] += body["tokens"]
-    return done
+        executed[name.rpartition("-")[0]] += sum(item["count"] for item in body["executions"])
+        executed["tokens"] += body["tokens"]
+    return executed
 
 
-def _read_billed(fleet: Fleet) -> Counter[str]:
-    """Return attempts by stage, and tokens, as the report has them."""
-    billed: Counter[str] = Counter()
+def _read_reported(fleet: Fleet) -> Counter[str]:
+    """Return the attempts by stage and the tokens in the cost report."""
+    reported: Counter[str] = Counter()
     for row in json.loads(fleet.require("report", "cost", "--format=json")):
-        billed[row["stage"]] += row["attempts"]
-        billed["tokens"] += row["tokens"]
-    return billed
+        reported[row["stage"]] += row["attempts"]
+        reported["tokens"] += row["tokens"]
+    return reported
 
 
 if __name__ == "__main__":
--- a/packages/damsonlane_bench/src/damsonlane_bench/tests/test_fleet.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""What tests with real processes lean on: ports of their own, and causes that are shown."""
+"""Fleets of real processes: reservation of ports and reports of boxes that exited."""
 
 import socket
 import subprocess
@@ -10,33 +10,36 @@
 from damsonlane_bench.fleet import Fleet, StuckError, take_address
 from damsonlane_bench.fleet._ports import reserve_port
 
-#: Prints whether another process can reserve a port that this one was given.
-_TRY: str = (
+#: Program that prints whether it can reserve the port in its argument.
+_RESERVE_PROGRAM: str = (
     "import sys; from damsonlane_bench.fleet._ports import reserve_port; "
     "print(reserve_port(int(sys.argv[1])))"
 )
 
 
 class PortTest(unittest.TestCase):
-    def test_no_other_process_is_given_a_port_before_it_is_used(self) -> None:
+    def test_another_process_cannot_reserve_an_unused_port(self) -> None:
         port = take_address().rpartition(":")[2]
-        done = subprocess.run(
-            [sys.executable, "-c", _TRY, port], capture_output=True, text=True, check=True
+        completed = subprocess.run(
+            [sys.executable, "-c", _RESERVE_PROGRAM, port],
+            capture_output=True,
+            text=True,
+            check=True,
         )
-        self.assertEqual(done.stdout.strip(), "False")
+        self.assertEqual(completed.stdout.strip(), "False")
 
-    def test_a_port_is_given_once(self) -> None:
+    def test_a_port_is_reserved_once(self) -> None:
         port = int(take_address().rpartition(":")[2])
         self.assertFalse(reserve_port(port))
 
-    def test_who_was_given_a_port_listens_there(self) -> None:
+    def test_a_reserved_port_can_be_listened_on(self) -> None:
         host, _, port = take_address().rpartition(":")
         with socket.create_server((host, int(port))) as server:
             self.assertEqual(server.getsockname()[1], int(port))
 
 
 class FleetTest(unittest.TestCase):
-    def test_a_box_that_ended_is_told_with_its_log(self) -> None:
+    def test_the_error_about_a_box_that_exited_has_the_end_of_its_log(self) -> None:
         with tempfile.TemporaryDirectory() as folder, Fleet(Path(folder), with_tls=False) as fleet:
             box = fleet.controls()[0]
             box.settings_file.write_text("{")
--- a/packages/damsonlane_bench/src/damsonlane_bench/tests/test_membership.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership with real processes: shares come back, leaving spreads, lists lag."""
+"""Fleet membership with real processes: lost entries, draining targets and the platform's list."""
 
 import json
 import tempfile
@@ -18,10 +18,10 @@
         scratch = tempfile.TemporaryDirectory()
         self.addCleanup(scratch.cleanup)
         folder = Path(scratch.name)
-        self.list = folder / "platform.json"
-        self.list.write_text('{"live": ["lookup-1", "lookup-2"]}')
-        place = {"kind": "file", "place": str(self.list)}
-        self.fleet = Fleet(folder, box_settings={"platform_list": place})
+        self.platform_list = folder / "platform.json"
+        self.platform_list.write_text('{"live": ["lookup-1", "lookup-2"]}')
+        list_setting = {"kind": "file", "place": str(self.platform_list)}
+        self.fleet = Fleet(folder, box_settings={"platform_list": list_setting})
         self.addCleanup(self.fleet.stop_all)
         for number in (1, 2):
             self.fleet.start_standin(f"lookup-{number}", slots=50)
@@ -39,43 +39,52 @@
             }
         )
 
-    def _boxes(self) -> dict[str, Any]:
+    def _read_standings(self) -> dict[str, Any]:
         rows = json.loads(self.fleet.require("control", "boxes", "--json"))
         return {row["box"]: row["standing"] for row in rows}
 
-    def _count_entered(self, entry: str) -> int:
-        """Send more slow requests at once than the fleet's limit; return how many entered."""
+    def _count_admitted(self, entry: str) -> int:
+        """Send more slow requests at once than the fleet's limit; return how many were admitted."""
         with ThreadPoolExecutor(20) as pool:
             sent = [
                 pool.submit(self.fleet.call, entry, "lookup", "x", token=_TOKEN) for _ in range(20)
             ]
             return sum(1 for future in sent if future.result().status == 200)
 
-    def test_a_killed_entry_gives_its_share_back(self) -> None:
-        wait_until(lambda: self._boxes() == {"entry-1": "live", "entry-2": "live"}, "both live")
+    def test_the_share_of_a_killed_entry_is_redistributed(self) -> None:
+        wait_until(
+            lambda: self._read_standings() == {"entry-1": "live", "entry-2": "live"},
+            "both entries are live",
+        )
         for number in (1, 2):
             self.fleet.change_behaviour(f"lookup-{number}", seconds=1.0)
-        wait_until(lambda: self._count_entered("entry-1") == 4, "each has half of the limit")
+        wait_until(lambda: self._count_admitted("entry-1") == 4, "entry-1 has half of the limit")
         self.fleet.kill("entry-2")
-        wait_until(lambda: self._count_entered("entry-1") == 8, "one has all of the limit")
-        self.assertNotIn("entry-2", self._boxes())
+        wait_until(lambda: self._count_admitted("entry-1") == 8, "entry-1 has the whole limit")
+        self.assertNotIn("entry-2", self._read_standings())
 
-    def test_the_platforms_list_takes_a_target_out(self) -> None:
-        self.list.write_text('{"live": ["lookup-2"], "leaving": ["lookup-1"]}')
-        wait_until(lambda: self._targets("entry-1") == {"lookup-2"}, "nothing new goes there")
-        self.assertEqual(self._targets("entry-1"), {"lookup-2"})
+    def test_a_target_that_the_platform_lists_as_leaving_gets_no_requests(self) -> None:
+        self.platform_list.write_text('{"live": ["lookup-2"], "leaving": ["lookup-1"]}')
+        wait_until(
+            lambda: self._list_targets_used("entry-1") == {"lookup-2"},
+            "entry-1 sends to lookup-2 only",
+        )
+        self.assertEqual(self._list_targets_used("entry-1"), {"lookup-2"})
 
-    def test_word_of_a_leaving_target_reaches_the_other_entry(self) -> None:
-        """The other entry never meets the refusal itself."""
+    def test_a_draining_target_is_reported_to_the_other_entry(self) -> None:
+        """The other entry never receives the rejection itself."""
         self.fleet.change_behaviour("lookup-1", is_leaving=True)
         for _ in range(30):
             self.fleet.call("entry-1", "lookup", "x", token=_TOKEN)
         self.fleet.change_behaviour("lookup-1", is_leaving=False)
-        wait_until(lambda: self._targets("entry-2") == {"lookup-2"}, "entry-2 has heard of it")
+        wait_until(
+            lambda: self._list_targets_used("entry-2") == {"lookup-2"},
+            "entry-2 sends to lookup-2 only",
+        )
 
-    def _targets(self, entry: str) -> set[str]:
-        answers = [self.fleet.call(entry, "lookup", "x", token=_TOKEN) for _ in range(20)]
-        return {answer.body["stages"][0]["target"] for answer in answers if answer.status == 200}
+    def _list_targets_used(self, entry: str) -> set[str]:
+        responses = [self.fleet.call(entry, "lookup", "x", token=_TOKEN) for _ in range(20)]
+        return {item.body["stages"][0]["target"] for item in responses if item.status == 200}
 
 
 if __name__ == "__main__":
--- a/packages/damsonlane_bench/src/damsonlane_bench/tests/test_programs.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/tests/test_programs.py
@@ -1,4 +1,4 @@
-"""Both programs met with mistakes: one clear line, a documented code, no traceback."""
+"""Errors of the daemon and of the operator's command: message, exit code and no traceback."""
 
 import json
 import socket
@@ -11,7 +11,7 @@
 from damsonlane_bench.fleet import Fleet, find_program, take_address
 
 
-def _box(folder: Path, **changes: Any) -> dict[str, Any]:
+def _make_box_settings(folder: Path, **changes: Any) -> dict[str, Any]:
     settings: dict[str, Any] = {
         "name": "control-1",
         "data_centre": "johar",
@@ -24,8 +24,8 @@
     return settings | changes
 
 
-def _run(program: str, *arguments: str) -> tuple[int, str]:
-    done = subprocess.run(
+def _run_program(program: str, *arguments: str) -> tuple[int, str]:
+    completed = subprocess.run(
         [find_program(program), *arguments],
         capture_output=True,
         text=True,
@@ -33,7 +33,7 @@
         check=False,
         env={"DAMSONLANE_SETTINGS": "/nowhere/damsonlane.json"},
     )
-    return done.returncode, done.stderr
+    return completed.returncode, completed.stderr
 
 
 class ProgramsTest(unittest.TestCase):
@@ -47,7 +47,7 @@
         path.write_text(text)
         return str(path)
 
-    def test_a_box_that_cannot_start_says_why(self) -> None:
+    def test_a_box_that_cannot_start_prints_the_cause(self) -> None:
         with socket.socket() as taken:
             taken.bind(("127.0.0.1", 0))
             taken.listen()
@@ -55,23 +55,35 @@
             folder = self.folder
             (folder / "file").write_text("")
             cases = [
-                (json.dumps(_box(folder, internal_address=busy)), 3, "cannot listen on"),
-                (json.dumps(_box(folder, admin_address=busy)), 3, "cannot listen on"),
-                (json.dumps(_box(folder, data_folder=str(folder / "file"))), 3, "File exists"),
-                (json.dumps(_box(folder, role="king")), 2, "/role"),
-                (json.dumps(_box(folder, nmae="x")), 2, "nearest known name is 'name'"),
+                (
+                    json.dumps(_make_box_settings(folder, internal_address=busy)),
+                    3,
+                    "cannot listen on",
+                ),
+                (json.dumps(_make_box_settings(folder, admin_address=busy)), 3, "cannot listen on"),
+                (
+                    json.dumps(_make_box_settings(folder, data_folder=str(folder / "file"))),
+                    3,
+                    "File exists",
+                ),
+                (json.dumps(_make_box_settings(folder, role="king")), 2, "/role"),
+                (
+                    json.dumps(_make_box_settings(folder, nmae="x")),
+                    2,
+                    "nearest known name is 'name'",
+                ),
                 ("{", 2, "not JSON with comments"),
             ]
             for text, code, message in cases:
                 with self.subTest(message=message):
-                    result = _run("damsonlaned", f"--settings={self._write(text)}")
+                    result = _run_program("damsonlaned", f"--settings={self._write(text)}")
                     self._check(result, code, message)
 
-    def test_missing_settings_are_one_line(self) -> None:
-        result = _run("damsonlaned", "--settings=/nowhere/box.json")
+    def test_missing_settings_are_reported_in_one_line(self) -> None:
+        result = _run_program("damsonlaned", "--settings=/nowhere/box.json")
         self._check(result, 2, "/nowhere/box.json /: cannot be read: No such file")
 
-    def test_a_damaged_journal_stops_the_box_with_its_place(self) -> None:
+    def test_a_damaged_journal_is_reported_with_its_offset(self) -> None:
         with Fleet(self.folder / "fleet", controls=1, entries=0, with_tls=False) as fleet:
             fleet.start_control_group()
             box = fleet.controls()[0]
@@ -80,15 +92,17 @@
             data = bytearray(journal.read_bytes())
             data[20] ^= 1
             journal.write_bytes(bytes(data))
-            result = _run("damsonlaned", f"--settings={box.settings_file}")
+            result = _run_program("damsonlaned", f"--settings={box.settings_file}")
         self._check(result, 3, "damaged at byte 0")
 
-    def test_the_operators_command_says_what_is_missing(self) -> None:
-        self._check(_run("damsonlane", "control", "status"), 2, "cannot be read")
-        self._check(_run("damsonlane", "settings", "check", "/nowhere"), 2, "cannot be read")
+    def test_the_operators_command_reports_missing_files(self) -> None:
+        self._check(_run_program("damsonlane", "control", "status"), 2, "cannot be read")
+        self._check(
+            _run_program("damsonlane", "settings", "check", "/nowhere"), 2, "cannot be read"
+        )
 
-    def test_settings_are_checked_offline(self) -> None:
-        result = _run("damsonlane", "settings", "check", self._write('{"polcy": {}}'))
+    def test_settings_are_checked_without_a_control_group(self) -> None:
+        result = _run_program("damsonlane", "settings", "check", self._write('{"polcy": {}}'))
         self._check(result, 2, "box.json:1:2 /polcy: unknown key 'polcy'; the nearest known name")
 
     def _check(self, result: tuple[int, str], code: int, message: str) -> None:
--- a/packages/damsonlane_bench/src/damsonlane_bench/tests/test_requests.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/tests/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests with real processes: at most once, whole answers, honest refusals, clean stops."""
+"""Requests with real processes: at-most-once runs, complete responses, refusals and stops."""
 
 import json
 import socket
@@ -18,7 +18,8 @@
 
 _NORTH = "north-token"
 _SOUTH = "south-token"
-_STORM = 120
+#: Number of concurrent requests while an entry or the leader fails.
+_CONCURRENT_REQUESTS = 120
 
 
 def _make_tree(addresses: dict[str, str]) -> dict[str, Any]:
@@ -40,7 +41,7 @@
 
 
 class RequestsTest(unittest.TestCase):
-    """All tests share one fleet; each leaves it whole."""
+    """All tests share one fleet; each restores it."""
 
     fleet: ClassVar[Fleet]
 
@@ -59,7 +60,7 @@
         cls.fleet.apply_tree(_make_tree(cls.fleet.standins))
 
     def setUp(self) -> None:
-        self.pool = ThreadPoolExecutor(_STORM)
+        self.pool = ThreadPoolExecutor(_CONCURRENT_REQUESTS)
         self.addCleanup(self.pool.shutdown)
 
     # Helpers.
@@ -73,32 +74,34 @@
             headers={"Idempotency-Key": key, **headers},
         )
 
-    def _runs(self) -> Counter[str]:
-        """Return how often each confirmation really ran."""
+    def _count_runs(self) -> Counter[str]:
+        """Return how often the target ran each confirmation."""
         runs: Counter[str] = Counter()
         for execution in self.fleet.read_executions("terminal-1"):
             runs[execution["text"]] += execution["count"]
         return runs
 
-    def _storm(self, prefix: str, disturb: Callable[[], None]) -> None:
-        """Send many marked requests through one entry, disturb it, resend through the other."""
-        keys = [f"{prefix}-{number}" for number in range(_STORM)]
-        self._behave("terminal-1", seconds=0.05, slots=8)
+    def _resend_during_fault(self, prefix: str, inject_fault: Callable[[], None]) -> None:
+        """Send many non-repeatable requests to one entry, inject a fault, resend to the other."""
+        keys = [f"{prefix}-{number}" for number in range(_CONCURRENT_REQUESTS)]
+        self._change_behaviour("terminal-1", seconds=0.05, slots=8)
         first: dict[str, Future[Response]] = {
             key: self.pool.submit(self._confirm, "entry-1", key, **{"Damsonlane-Resend": "no"})
             for key in keys
         }
-        before = sum(self._runs().values())
-        wait_until(lambda: sum(self._runs().values()) >= before + 20, "some have run")
-        disturb()
-        again = {key: self.pool.submit(self._confirm, "entry-2", key) for key in keys}
-        endings = {key: (first[key].result(), again[key].result()) for key in keys}
-        runs = self._runs()
-        for key, (one, two) in endings.items():
+        before = sum(self._count_runs().values())
+        wait_until(
+            lambda: sum(self._count_runs().values()) >= before + 20, "twenty requests have run"
+        )
+        inject_fault()
+        resent = {key: self.pool.submit(self._confirm, "entry-2", key) for key in keys}
+        responses = {key: (first[key].result(), resent[key].result()) for key in keys}
+        runs = self._count_runs()
+        for key, (one, two) in responses.items():
             with self.subTest(key=key):
-                self._check_endings(runs[f"confirm {key}"], one, two)
+                self._check_outcomes(runs[f"confirm {key}"], one, two)
 
-    def _check_endings(self, runs: int, one: Response, two: Response) -> None:
+    def _check_outcomes(self, runs: int, one: Response, two: Response) -> None:
         self.assertLessEqual(runs, 1, "it ran twice")
         outputs = {response.body["output"] for response in (one, two) if response.status == 200}
         self.assertLessEqual(len(outputs), 1, "two answers differ")
@@ -107,13 +110,13 @@
         if two.status not in (0, 200) and two.body["run"] == "no":
             self.assertEqual(runs, 0, "'not run' is false")
 
-    def _behave(self, name: str, **behaviour: object) -> None:
-        """Change a stand-in until the test ends."""
+    def _change_behaviour(self, name: str, **behaviour: object) -> None:
+        """Change the behaviour of a stand-in until the test ends."""
         self.fleet.change_behaviour(name, **behaviour)
-        usual = {"seconds": 0.005, "slots": 4, "token_seconds": 0.001}
-        calm = dict.fromkeys(("fail_every", "truncate_every", "cross_every"), 0)
-        still = {"hang_up_every": 0, "is_refusing": False, "is_leaving": False}
-        self.addCleanup(self.fleet.change_behaviour, name, **usual, **calm, **still)
+        defaults = {"seconds": 0.005, "slots": 4, "token_seconds": 0.001}
+        no_faults = dict.fromkeys(("fail_every", "truncate_every", "cross_every"), 0)
+        available = {"hang_up_every": 0, "is_refusing": False, "is_leaving": False}
+        self.addCleanup(self.fleet.change_behaviour, name, **defaults, **no_faults, **available)
 
     def _restart(self, entry: str) -> None:
         self.fleet.start(entry)
@@ -121,8 +124,8 @@
 
     # At most once.
 
-    def test_an_entry_killed_in_a_storm_runs_nothing_twice(self) -> None:
-        self._storm("kill", lambda: self.fleet.kill("entry-1"))
+    def test_killing_an_entry_under_load_runs_no_request_twice(self) -> None:
+        self._resend_during_fault("kill", lambda: self.fleet.kill("entry-1"))
         self._restart("entry-1")
 
     def test_an_entry_frozen_and_thawed_in_a_storm_runs_nothing_twice(self) -> None:
@@ -133,21 +136,21 @@
             process.freeze()
             timer.start()
 
-        self._storm("freeze", freeze)
+        self._resend_during_fault("freeze", freeze)
         timer.join()
 
-    def test_a_control_leader_killed_in_a_storm_runs_nothing_twice(self) -> None:
+    def test_killing_the_control_leader_under_load_runs_no_request_twice(self) -> None:
         leader = next(
             row["replica"].rpartition(".")[0]
             for row in json.loads(self.fleet.require("control", "status", "--json"))
             if row["standing"] == "leader"
         )
-        self._storm("leader", lambda: self.fleet.kill(leader))
+        self._resend_during_fault("leader", lambda: self.fleet.kill(leader))
         self.fleet.start(leader)
         self.fleet.wait_listening(self.fleet.boxes[leader])
 
-    def test_concurrent_resends_through_two_entries_share_one_run(self) -> None:
-        self._behave("terminal-1", seconds=0.2)
+    def test_concurrent_resends_through_two_entries_run_once(self) -> None:
+        self._change_behaviour("terminal-1", seconds=0.2)
         sent = [
             self.pool.submit(self._confirm, f"entry-{1 + number % 2}", "shared")
             for number in range(6)
@@ -155,26 +158,26 @@
         answers = [future.result() for future in sent]
         self.assertEqual([answer.status for answer in answers], [200] * 6)
         self.assertEqual(len({answer.body["request"] for answer in answers}), 1)
-        self.assertEqual(self._runs()["confirm shared"], 1)
+        self.assertEqual(self._count_runs()["confirm shared"], 1)
 
-    def test_a_marked_call_whose_target_hangs_up_is_unknown_and_never_sent_again(self) -> None:
-        self._behave("terminal-1", hang_up_every=1)
+    def test_a_non_repeatable_call_that_is_cut_off_is_unknown_and_not_retried(self) -> None:
+        self._change_behaviour("terminal-1", hang_up_every=1)
         first = self._confirm("entry-1", "hang-up")
         self.assertEqual((first.status, first.body["run"]), (502, "unknown"))
         again = self._confirm("entry-2", "hang-up", **{"Damsonlane-Deadline-Ms": "1500"})
         self.assertEqual((again.status, again.body["run"]), (409, "unknown"))
-        self.assertEqual(self._runs()["confirm hang-up"], 1)
+        self.assertEqual(self._count_runs()["confirm hang-up"], 1)
 
-    def test_a_marked_call_that_is_refused_did_not_run_and_may_come_back(self) -> None:
-        self._behave("terminal-1", is_refusing=True)
+    def test_a_rejected_non_repeatable_call_did_not_run_and_may_be_resent(self) -> None:
+        self._change_behaviour("terminal-1", is_refusing=True)
         first = self._confirm("entry-1", "refused")
         self.assertEqual((first.status, first.body["run"]), (503, "no"))
         self.assertEqual(first.headers["retry-after"], "1")
         self.fleet.change_behaviour("terminal-1", is_refusing=False)
         again = self._confirm("entry-2", "refused")
-        self.assertEqual((again.status, self._runs()["confirm refused"]), (200, 1))
+        self.assertEqual((again.status, self._count_runs()["confirm refused"]), (200, 1))
 
-    def test_without_a_quorum_marked_requests_are_refused_and_repeatable_ones_go_on(self) -> None:
+    def test_without_a_quorum_only_repeatable_requests_are_served(self) -> None:
         names = [box.name for box in self.fleet.controls()][:2]
         for name in names:
             self.fleet.processes[name].freeze()
@@ -187,9 +190,9 @@
         self.assertEqual((resent.status, resent.body["run"]), (503, "unknown"))
         self.assertEqual((first.status, first.body["run"]), (503, "no"))
         self.assertEqual(lookup.status, 200)
-        self.assertEqual(self._runs()["confirm no-quorum"], 0)
+        self.assertEqual(self._count_runs()["confirm no-quorum"], 0)
 
-    def test_a_key_is_bound_to_its_request_and_its_organisation(self) -> None:
+    def test_an_idempotency_key_belongs_to_one_request_of_one_organisation(self) -> None:
         key = {"Idempotency-Key": "bound"}
         first = self.fleet.call("entry-1", "lookup", "one", token=_NORTH, headers=key)
         other = self.fleet.call("entry-2", "lookup", "two", token=_NORTH, headers=key)
@@ -197,9 +200,9 @@
         self.assertEqual((first.status, other.status, south.status), (200, 422, 200))
         self.assertEqual((first.body["output"], south.body["output"]), ("one", "two"))
 
-    # Whole answers.
+    # Complete responses.
 
-    def test_faulty_targets_never_make_a_wrong_answer(self) -> None:
+    def test_faulty_targets_never_cause_a_wrong_response(self) -> None:
         faults: list[dict[str, object]] = [
             {"truncate_every": 3},
             {"cross_every": 3},
@@ -209,12 +212,12 @@
         for fault in faults:
             with self.subTest(fault=fault):
                 for name in ("encode-1", "generate-1"):
-                    self._behave(name, **fault)
-                self._check_answers()
+                    self._change_behaviour(name, **fault)
+                self._check_outputs()
                 for name in ("encode-1", "generate-1"):
                     self.fleet.change_behaviour(name, **dict.fromkeys(fault, 0))
 
-    def _check_answers(self) -> None:
+    def _check_outputs(self) -> None:
         texts = [f"question {number} about a hearing" for number in range(20)]
         sent = {
             text: self.pool.submit(self.fleet.call, "entry-1", "whole", text, token=_NORTH)
@@ -228,8 +231,8 @@
             else:
                 self.assertIn(response.body["run"], ("no", "unknown"))
 
-    def test_a_broken_stream_says_that_it_is_not_whole(self) -> None:
-        self._behave("generate-1", truncate_every=1)
+    def test_an_interrupted_stream_is_marked_incomplete(self) -> None:
+        self._change_behaviour("generate-1", truncate_every=1)
         events = self._stream("a line")
         self.assertEqual(
             events[-1], ("end", {"whole": False, "reason": "not-whole", "run": "unknown"})
@@ -256,41 +259,41 @@
             events.append((name.removeprefix("event: "), json.loads(data.removeprefix("data: "))))
         return events
 
-    # Leaving and stopping.
+    # Draining and stopping.
 
-    def test_a_leaving_target_gets_nothing_new(self) -> None:
-        """Settings still name it, as a lagging list would."""
-        self._behave("lookup-1", is_leaving=True)
+    def test_a_draining_target_gets_no_new_requests(self) -> None:
+        """The settings still list the target, as a stale list would."""
+        self._change_behaviour("lookup-1", is_leaving=True)
         for entry in ("entry-1", "entry-2"):
             for _ in range(30):
                 self.assertEqual(self._look_up(entry).status, 200)
-        before = self._count("lookup-1")
+        before = self._count_executions("lookup-1")
         for entry in ("entry-1", "entry-2"):
             targets = {self._look_up(entry).body["stages"][0]["target"] for _ in range(30)}
             self.assertEqual(targets, {"lookup-2"})
-        self.assertEqual(self._count("lookup-1"), before)
+        self.assertEqual(self._count_executions("lookup-1"), before)
 
     def _look_up(self, entry: str) -> Response:
         return self.fleet.call(entry, "lookup", "status", token=_NORTH)
 
-    def _count(self, name: str) -> int:
+    def _count_executions(self, name: str) -> int:
         return sum(execution["count"] for execution in self.fleet.read_executions(name))
 
     def test_a_stopping_entry_cuts_off_nothing_in_flight(self) -> None:
-        self._behave("generate-1", token_seconds=0.2, slots=50)
+        self._change_behaviour("generate-1", token_seconds=0.2, slots=50)
         streams = [self.pool.submit(self._stream, f"line {number}") for number in range(10)]
         plain = [
             self.pool.submit(self.fleet.call, "entry-1", "whole", f"text {number}", token=_NORTH)
             for number in range(30)
         ]
-        wait_until(lambda: self._in_flight("entry-1") == 40, "forty are in flight")
+        wait_until(lambda: self._read_in_flight("entry-1") == 40, "forty requests are in flight")
         code = self.fleet.stop("entry-1")
         self._restart("entry-1")
         self.assertEqual(code, 0)
         self.assertEqual({stream.result()[-1][1]["whole"] for stream in streams}, {True})
         self.assertEqual({response.result().status for response in plain}, {200})
 
-    def _in_flight(self, entry: str) -> int:
+    def _read_in_flight(self, entry: str) -> int:
         address = self.fleet.boxes[entry].admin_address
         lines = send("GET", f"http://{address}/metrics").body.splitlines()
         found = [line for line in lines if line.startswith("damsonlane_in_flight ")]
@@ -298,28 +301,28 @@
 
     # Bad input.
 
-    def test_bad_input_gets_a_clear_problem(self) -> None:
-        good = {"input": "text"}
+    def test_bad_input_gets_its_problem_type(self) -> None:
+        valid = {"input": "text"}
         cases: list[tuple[str, object, dict[str, str], int, str]] = [
             ("whole", b"{", {}, 400, "malformed"),
             ("whole", {"text": "x"}, {}, 400, "malformed"),
             ("whole", {"input": 3}, {}, 400, "malformed"),
             ("whole", {"input": "x", "more": 1}, {}, 400, "malformed"),
             ("whole", {"input": "x" * (3 * 2**20)}, {}, 413, "too-large"),
-            ("whole", good, {"Authorization": "Bearer wrong"}, 401, "unauthorised"),
-            ("whole", good, {"Authorization": ""}, 401, "unauthorised"),
-            ("whole", good, {"Authorization": f"Bearer {_SOUTH}"}, 404, "unknown-pipeline"),
-            ("nothing", good, {}, 404, "unknown-pipeline"),
-            ("whole", good, {"Damsonlane-Deadline-Ms": "-5"}, 504, "deadline-passed"),
-            ("whole", good, {"Damsonlane-Deadline-Ms": "soon"}, 400, "malformed"),
-            ("confirm", good, {}, 400, "key-needed"),
-            ("confirm", good, {"Idempotency-Key": "k" * 300}, 400, "malformed"),
+            ("whole", valid, {"Authorization": "Bearer wrong"}, 401, "unauthorised"),
+            ("whole", valid, {"Authorization": ""}, 401, "unauthorised"),
+            ("whole", valid, {"Authorization": f"Bearer {_SOUTH}"}, 404, "unknown-pipeline"),
+            ("nothing", valid, {}, 404, "unknown-pipeline"),
+            ("whole", valid, {"Damsonlane-Deadline-Ms": "-5"}, 504, "deadline-passed"),
+            ("whole", valid, {"Damsonlane-Deadline-Ms": "soon"}, 400, "malformed"),
+            ("confirm", valid, {}, 400, "key-needed"),
+            ("confirm", valid, {"Idempotency-Key": "k" * 300}, 400, "malformed"),
         ]
-        for pipeline, body, headers, status, name in cases:
-            with self.subTest(pipeline=pipeline, headers=headers, name=name):
+        for pipeline, body, headers, status, problem in cases:
+            with self.subTest(pipeline=pipeline, headers=headers, problem=problem):
                 response = self._post(pipeline, body, headers)
                 self.assertEqual(response.status, status)
-                self.assertEqual(response.body["type"], f"urn:damsonlane:problem:{name}")
+                self.assertEqual(response.body["type"], f"urn:damsonlane:problem:{problem}")
                 self.assertEqual(response.body["run"], "no")
         self.assertEqual(self._look_up("entry-1").status, 200)
 
@@ -328,7 +331,7 @@
         url = f"http://{address}/v1/pipelines/{pipeline}"
         return send("POST", url, body, {"Authorization": f"Bearer {_NORTH}", **headers})
 
-    def test_a_header_that_stands_twice_is_refused(self) -> None:
+    def test_a_duplicate_header_is_refused(self) -> None:
         host, _, port = self.fleet.boxes["entry-1"].caller_address.rpartition(":")
         lines = [
             "POST /v1/pipelines/lookup HTTP/1.1",
--- a/packages/damsonlane_bench/src/damsonlane_bench/tests/test_routes.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Routes, registered targets and stage pools with real processes."""
+"""Demonstration of routes, registered targets and stage pools with real processes."""
 
 import tempfile
 import unittest
@@ -8,11 +8,11 @@
 
 
 class RoutesTest(unittest.TestCase):
-    def test_demonstration_holds(self) -> None:
+    def test_demonstration_passes(self) -> None:
         with tempfile.TemporaryDirectory() as folder, RoutesFleet(Path(folder)) as fleet:
             demonstration = RoutesDemonstration(fleet)
             demonstration.run()
-        self.assertEqual(demonstration.faults, [])
+        self.assertEqual(demonstration.failures, [])
 
 
 if __name__ == "__main__":
