--- a/packages/damsonlane_bench/src/damsonlane_bench/policy.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/policy.py
@@ -62,7 +62,7 @@
     #: Name in the results.
     name: str
     #: Rates of the load over time.
-    wave: Wave
+    load: Wave
     #: Injects the fault; called when the load starts.
     inject_fault: Callable[[Fleet], None] = lambda _: None
     #: Ends the fault; called after the load.
@@ -119,30 +119,30 @@
 
 _STEP: Final = Wave(calm_rate=CAPACITY * 0.3, wave_rate=CAPACITY * 2.0, before=2, during=6, after=2)
 SCENARIOS: Final = (
-    Scenario(name="calm at 50%", wave=_steady_load(0.5)),
-    Scenario(name="80%", wave=_steady_load(0.8)),
+    Scenario(name="calm at 50%", load=_steady_load(0.5)),
+    Scenario(name="80%", load=_steady_load(0.8)),
     Scenario(
         name="80%, one engine ten times slower",
-        wave=_steady_load(0.8),
+        load=_steady_load(0.8),
         inject_fault=_slow_down_engine,
         end_fault=_restore_engine,
     ),
-    Scenario(name="wave to 200%", wave=_STEP),
+    Scenario(name="wave to 200%", load=_STEP),
     Scenario(
         name="wave, rerank five times slower",
-        wave=_STEP,
+        load=_STEP,
         inject_fault=_slow_down_stage,
         end_fault=_restore_stage,
     ),
     Scenario(
         name="wave, an engine fails in it",
-        wave=_STEP,
+        load=_STEP,
         inject_fault=_delayed(4.0, _break_engine),
         end_fault=_repair_engine,
     ),
     Scenario(
         name="wave, an entry killed in it",
-        wave=_STEP,
+        load=_STEP,
         inject_fault=_delayed(4.0, _kill_entry),
         end_fault=_restart_entry,
     ),
@@ -199,7 +199,7 @@
         name: name of the run.
         seed: seed of the arrivals.
     """
-    arrivals = plan_arrivals(scenario.wave, CLASSES, seed)
+    arrivals = plan_arrivals(scenario.load, CLASSES, seed)
     entries = [box.caller_address for box in fleet.entries()]
     outcomes = send_arrivals(arrivals, entries, name, lambda: scenario.inject_fault(fleet))
     scenario.end_fault(fleet)
