--- /dev/null
+++ b/packages/damsonlane_bench/src/damsonlane_bench/soak/_evaluation.py
@@ -0,0 +1,18 @@
+"""Evaluation of a soak run against all guarantees."""
+
+from collections.abc import Sequence
+
+# Imported for their side effect: each module registers its checks.
+from damsonlane_bench.soak import _checks as _checks
+from damsonlane_bench.soak import _rate_limit_check as _rate_limit_check
+from damsonlane_bench.soak._guarantees import GUARANTEES, Violation
+from damsonlane_bench.soak._observations import Observations, TargetRun
+
+
+def find_violations(observations: Observations, runs: Sequence[TargetRun]) -> tuple[Violation, ...]:
+    """Return all violations of all guarantees."""
+    return tuple(
+        Violation(guarantee=name, detail=detail)
+        for name, check in GUARANTEES.items()
+        for detail in check(observations, runs)
+    )
--- /dev/null
+++ b/packages/damsonlane_bench/src/damsonlane_bench/soak/_soak_run.py
@@ -0,0 +1,299 @@
+"""Execution of a soak plan on a fleet of real processes."""
+
+import signal
+import time
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass
+from pathlib import Path
+from threading import Event, Lock, Thread
+from typing import Final
+
+from damsonlane_bench.fleet import StuckError, wait_until
+from damsonlane_bench.registered import LEAVING_SIGNAL, LIMIT_END_SIGNAL, LIMIT_SIGNAL, REST_SIGNAL
+from damsonlane_bench.routes import RoutesFleet, make_document
+from damsonlane_bench.soak._callers import Caller, OperatorThread
+from damsonlane_bench.soak._evaluation import find_violations
+from damsonlane_bench.soak._guarantees import Violation
+from damsonlane_bench.soak._observations import (
+    Observations,
+    read_arrivals,
+    read_rate_limits,
+    read_target_runs,
+)
+from damsonlane_bench.soak._plan import ANNOUNCEMENT_KINDS, RATE_LIMIT_KINDS, Fault, Plan
+
+#: Number of callers that draw from all routes in a fleet of two entries; one more for each further
+#: entry.
+CALLER_COUNT: Final = 5
+#: Seconds after which the supervisor restarts a process that exited.
+_RESTART_SECONDS: Final = 0.5
+#: Seconds after the last fault within which the fleet must serve again.
+_RECOVERY_SECONDS: Final = 30.0
+#: A target announces a rate limit for this multiple of the fault's length: the check of rate limits
+#: needs three seconds of propagation and a window of four seconds.
+_RATE_LIMIT_LENGTH_FACTOR: Final = 4.0
+#: Interval at which the supervisor polls the processes, in seconds.
+_POLL_SECONDS: Final = 0.05
+
+
+@dataclass(frozen=True, kw_only=True)
+class SoakResult:
+    """Result of a run."""
+
+    #: Plan of the run.
+    plan: Plan
+    #: Guarantees that were violated.
+    violations: tuple[Violation, ...]
+    #: Number of responses that callers received, by status; 0 if no response arrived.
+    statuses: dict[int, int]
+    #: Number of targets that exited on the crash request.
+    crash_count: int
+
+
+class SoakRun:
+    """One run of the soak.
+
+    Args:
+        plan: faults, length and fleet of the run.
+        folder: receives settings, data and logs.
+    """
+
+    def __init__(self, plan: Plan, folder: Path) -> None:
+        self._plan: Final = plan
+        size = plan.size
+        self._targets: Final = {target.name: target for target in size.list_targets()}
+        self._fleet: Final = RoutesFleet(
+            folder, size.list_controls(), size.list_entries(), tuple(self._targets)
+        )
+        self._folder: Final = folder
+        self._observations: Final = Observations()
+        self._lock: Final = Lock()
+        self._reserved: set[str] = set()
+        self._stopped: Final = Event()
+
+    def run(self) -> SoakResult:
+        """Execute the plan and return the violations of guarantees."""
+        supervisor = Thread(target=self._supervise, name="supervisor")
+        with self._fleet:
+            self._start()
+            supervisor.start()
+            try:
+                self._execute()
+                not_recovered = self._check_recovery()
+            finally:
+                self._stopped.set()
+                supervisor.join()
+        logs = [self._folder / f"{name}.log" for name in self._targets]
+        runs = tuple(read_target_runs(logs))
+        self._observations.arrivals.extend(read_arrivals(logs))
+        self._observations.rate_limits.extend(read_rate_limits(logs))
+        statuses: dict[int, int] = {}
+        for response in self._observations.responses:
+            statuses[response.status] = statuses.get(response.status, 0) + 1
+        return SoakResult(
+            plan=self._plan,
+            violations=(*find_violations(self._observations, runs), *not_recovered),
+            statuses=dict(sorted(statuses.items())),
+            crash_count=sum(run.is_crash for run in runs),
+        )
+
+    def _start(self) -> None:
+        fleet = self._fleet
+        for control in fleet.controls:
+            fleet.start(control, is_first_start=True)
+        for entry in fleet.entries:
+            fleet.start(entry)
+        for name in self._targets:
+            self._start_target(name)
+        fleet.put_document(1, routes=make_document()["routes"])
+        wait_until(self._is_served, "all entries serve all routes")
+
+    def _start_target(self, name: str) -> None:
+        target = self._targets[name]
+        self._fleet.start_target(name, target.service, target.kind)
+
+    def _is_served(self) -> bool:
+        """Return whether all entries serve all routes."""
+        return all(
+            self._fleet.is_ready(entry) and self._serves_route(entry, route)
+            for entry in self._fleet.entries
+            for route in ("ping", "refund", "chat")
+        )
+
+    def _serves_route(self, entry: str, route: str) -> bool:
+        request_id = f"probe-{route}-{time.monotonic_ns()}@{entry}"
+        headers = {"Damsonlane_Pieces": "1,1", "Damsonlane_Material_Key": "soak"}
+        more = headers if route == "chat" else {}
+        status, _ = self._fleet.call(entry, f"/{route}/a", request_id, **more)  # type: ignore[arg-type]
+        return status == 200
+
+    # Faults.
+
+    def _execute(self) -> None:
+        seed = self._plan.seed
+        callers = [
+            Caller(self._fleet, self._observations, f"c{number}", seed + number)
+            for number in range(CALLER_COUNT + self._plan.size.entries - 2)
+        ]
+        callers.append(
+            Caller(self._fleet, self._observations, "deadly", seed, sends_crash_request=True)
+        )
+        operator = OperatorThread(self._fleet, self._observations, seed)
+        faults = [Thread(target=self._inject, args=(fault,)) for fault in self._plan.faults]
+        for caller in callers:
+            caller.start()
+        operator.start()
+        for thread in faults:
+            thread.start()
+        self._stopped.wait(self._plan.seconds)
+        for fault in faults:
+            fault.join()
+        for caller in callers:
+            caller.stop()
+        operator.stop()
+
+    def _inject(self, fault: Fault) -> None:
+        """Begin a fault at its time and end it after its duration."""
+        self._stopped.wait(fault.at)
+        if fault.kind in ANNOUNCEMENT_KINDS:
+            self._announce(fault)
+            return
+        if fault.kind in RATE_LIMIT_KINDS:
+            self._announce_rate_limit(fault)
+            return
+        boxes = (*self._fleet.controls, *self._fleet.entries)
+        names = (fault.process,) if fault.process else boxes
+        reserved = self._reserve(names)
+        if not reserved:
+            return
+        try:
+            self._observations.record_fault_events(*reserved)
+            undo = [self._begin_fault(fault.kind, name) for name in reserved]
+            self._stopped.wait(fault.seconds)
+            for step in undo:
+                step()
+            self._observations.record_fault_events(*reserved)
+        finally:
+            with self._lock:
+                self._reserved -= set(reserved)
+
+    def _announce(self, fault: Fault) -> None:
+        """Have a target, or all targets of its service, announce back-off or draining.
+
+        This is not recorded as a fault, since entries must act on announcements.
+        """
+        names = (
+            self._list_service_targets(fault) if fault.kind == "rest of all" else [fault.process]
+        )
+        self._signal(names, LEAVING_SIGNAL if fault.kind == "leaving word" else REST_SIGNAL)
+        self._stopped.wait(fault.seconds)
+        if fault.kind != "leaving word":
+            return
+        while not self._reserve((fault.process,)):
+            self._stopped.wait(_POLL_SECONDS)
+        try:
+            self._drain(fault.process)
+        finally:
+            with self._lock:
+                self._reserved.discard(fault.process)
+
+    def _announce_rate_limit(self, fault: Fault) -> None:
+        """Have a target, or all targets of its service, announce a rate limit.
+
+        The limit ends after a while, unless the fault is a lasting limit.
+        """
+        names = (
+            self._list_service_targets(fault) if fault.kind == "limit of all" else [fault.process]
+        )
+        self._signal(names, LIMIT_SIGNAL)
+        self._stopped.wait(_RATE_LIMIT_LENGTH_FACTOR * fault.seconds)
+        if fault.kind != "lasting limit":
+            self._signal(names, LIMIT_END_SIGNAL)
+
+    def _list_service_targets(self, fault: Fault) -> list[str]:
+        """Return the names of all targets of the service that a fault affects."""
+        service = self._targets[fault.process].service
+        return [name for name, other in self._targets.items() if other.service == service]
+
+    def _signal(self, names: Sequence[str], number: int) -> None:
+        """Send a signal to targets that run and have installed their signal handlers."""
+        for name in names:
+            process = self._fleet.processes[name]
+            if process.is_running() and process.has_written():
+                process.signal(number)
+
+    def _drain(self, name: str) -> None:
+        """Have a target drain and exit, and start its next incarnation."""
+        process = self._fleet.processes[name]
+        if process.is_running():
+            process.terminate()
+        self._restart(name)
+
+    def _reserve(self, names: tuple[str, ...]) -> tuple[str, ...]:
+        """Reserve those of some processes that no other fault affects at the moment."""
+        with self._lock:
+            reserved = tuple(name for name in names if name not in self._reserved)
+            self._reserved |= set(reserved)
+            return reserved
+
+    def _begin_fault(self, kind: str, name: str) -> Callable[[], None]:
+        """Begin a fault at one process and return the function that ends it."""
+        process = self._fleet.processes[name]
+        if not process.is_running():
+            return lambda: self._restart(name)
+        if kind == "freeze":
+            process.freeze()
+            return process.thaw
+        if kind == "hang-up":
+            # SIGHUP ends a process whose interpreter still starts: no handler can be set yet.
+            if process.has_written():
+                process.signal(signal.SIGHUP)
+            return lambda: None
+        if kind == "stop":
+            process.terminate()
+        else:
+            process.kill()
+        return lambda: self._restart(name)
+
+    def _restart(self, name: str) -> None:
+        """Wait for the exit of a process and start it again."""
+        self._fleet.processes[name].wait()
+        if name in self._targets:
+            self._start_target(name)
+        else:
+            self._fleet.start(name)
+
+    def _supervise(self) -> None:
+        """Restart processes that exited outside a fault until the run stops."""
+        while not self._stopped.wait(_POLL_SECONDS):
+            for name in (*self._fleet.controls, *self._fleet.entries, *self._targets):
+                if self._fleet.processes[name].is_running() or not self._reserve((name,)):
+                    continue
+                try:
+                    self._restart_exited(name)
+                finally:
+                    with self._lock:
+                        self._reserved.discard(name)
+
+    def _restart_exited(self, name: str) -> None:
+        """Restart a process that exited by itself, and record it if it is no target."""
+        if self._fleet.processes[name].is_running():
+            return
+        if name not in self._targets:
+            self._observations.unexpected_exits.append(f"{name} exited by itself")
+        self._stopped.wait(_RESTART_SECONDS)
+        self._restart(name)
+
+    def _check_recovery(self) -> tuple[Violation, ...]:
+        """Return a violation if the fleet does not serve again without further faults.
+
+        All rate limits are ended first, since a target with a limit of 0 gets no requests.
+        """
+        self._signal(list(self._targets), LIMIT_END_SIGNAL)
+        try:
+            wait_until(self._is_served, "all entries serve all routes again", _RECOVERY_SECONDS)
+        except StuckError as error:
+            return (
+                Violation(guarantee="the fleet serves again after the faults", detail=str(error)),
+            )
+        return ()
