--- a/packages/damsonlane_bench/src/damsonlane_bench/operator.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/operator.py
@@ -17,7 +17,7 @@
 from damsonlane.settings import Edit, TlsFiles
 from damsonlane_bench.fleet import Box, Fleet
 from damsonlane_rpc import (
-    CALL_FAULTS,
+    CALL_ERRORS,
     STATUS,
     ControlClient,
     HistoryQuery,
@@ -170,7 +170,7 @@
         channel = open_channel(box.internal_address, None)
         try:
             await STATUS.unary(channel)(StatusRequest(), timeout=_STATUS_SECONDS)
-        except CALL_FAULTS:
+        except CALL_ERRORS:
             return False
         finally:
             channel.close()
--- a/packages/damsonlane_cli/src/damsonlane_cli/_context.py
+++ b/packages/damsonlane_cli/src/damsonlane_cli/_context.py
@@ -16,7 +16,7 @@
 from damsonlane.findings import Finding, Place
 from damsonlane.settings import Document, TlsFiles, read_document
 from damsonlane.settings.checks import CLOSED, check_value, locate
-from damsonlane_rpc import CALL_FAULTS, ControlClient, make_client_context
+from damsonlane_rpc import CALL_ERRORS, ControlClient, make_client_context
 
 #: Exit codes, as docs/operations.md lists them.
 EXIT_REFUSED: Final = 1
@@ -105,7 +105,7 @@
         fail(str(error), EXIT_INPUT)
     except DamsonlaneError as error:
         fail(str(error), EXIT_UNKNOWN)
-    except CALL_FAULTS as error:
+    except CALL_ERRORS as error:
         fault = str(error) or type(error).__name__
         fail(f"control did not answer, so the outcome is unknown: {fault}", EXIT_UNKNOWN)
 
--- a/packages/damsonlane_cli/src/damsonlane_cli/_control.py
+++ b/packages/damsonlane_cli/src/damsonlane_cli/_control.py
@@ -15,19 +15,19 @@
     print_rows,
 )
 from damsonlane_rpc import (
-    ADD,
-    FOUND,
-    REMOVE,
-    AddRequest,
+    ADD_REPLICA,
+    FOUND_GROUP,
+    REMOVE_REPLICA,
+    AddReplicaRequest,
     BoxesQuery,
     BoxesView,
     ControlClient,
-    Denied,
     Forbidden,
-    FoundRequest,
+    FoundGroupRequest,
+    GroupChangeDenied,
     GroupReply,
     QueryRequest,
-    RemoveRequest,
+    RemoveReplicaRequest,
     StatusReply,
 )
 
@@ -56,8 +56,8 @@
         """Found a group whose first member is the control box at an address."""
 
         async def work(client: ControlClient, _: OperatorSettings) -> None:
-            reply = await FOUND.unary(client.channel(address))(
-                FoundRequest(), timeout=DEFAULT_SECONDS
+            reply = await FOUND_GROUP.unary(client.channel(address))(
+                FoundGroupRequest(), timeout=DEFAULT_SECONDS
             )
             _require_done(reply)
             print(f"founded a group at {address}")
@@ -92,11 +92,14 @@
 
 async def _add_replica(client: ControlClient, address: str, seconds: float) -> None:
     status = await client.status(address, _CALL_SECONDS)
-    request = AddRequest(replica=status.replica, address=address)
+    request = AddReplicaRequest(replica=status.replica, address=address)
     deadline = time.monotonic() + seconds
     while True:
-        reply = await client.change_group(ADD, request, seconds)
-        if not isinstance(reply.outcome, Denied) or "under way" not in reply.outcome.detail:
+        reply = await client.change_group(ADD_REPLICA, request, seconds)
+        if (
+            not isinstance(reply.outcome, GroupChangeDenied)
+            or "under way" not in reply.outcome.detail
+        ):
             _require_done(reply)
             break
         if time.monotonic() >= deadline:
@@ -117,9 +120,11 @@
 ) -> None:
     deadline = time.monotonic() + seconds
     while True:
-        request = RemoveRequest(replica=replica)
-        reply = await client.change_group(REMOVE, request, seconds)
-        is_busy = isinstance(reply.outcome, Denied) and "under way" in reply.outcome.detail
+        request = RemoveReplicaRequest(replica=replica)
+        reply = await client.change_group(REMOVE_REPLICA, request, seconds)
+        is_busy = (
+            isinstance(reply.outcome, GroupChangeDenied) and "under way" in reply.outcome.detail
+        )
         if not is_busy or time.monotonic() >= deadline:
             _require_done(reply)
             break
@@ -179,7 +184,7 @@
 
 def _require_done(reply: GroupReply) -> None:
     outcome = reply.outcome
-    if isinstance(outcome, Denied):
+    if isinstance(outcome, GroupChangeDenied):
         fail(outcome.detail, EXIT_INPUT)
     if isinstance(outcome, Forbidden):
         fail(outcome.detail, EXIT_REFUSED)
--- a/packages/damsonlane_rpc/src/damsonlane_rpc/_client.py
+++ b/packages/damsonlane_rpc/src/damsonlane_rpc/_client.py
@@ -17,8 +17,9 @@
 from damsonlane.ratelimit import Permit
 from damsonlane_rpc._addresses import Endpoint
 from damsonlane_rpc._codec import DataclassCodec
-from damsonlane_rpc._fleet_messages import HeardReply, HeardRequest
+from damsonlane_rpc._fleet_messages import HeartbeatReport, HeartbeatReportReply
 from damsonlane_rpc._messages import (
+    Committed,
     Forbidden,
     GroupReply,
     NotLeader,
@@ -28,11 +29,10 @@
     StatusRequest,
     SubmitReply,
     SubmitRequest,
-    Submitted,
     Unconfirmed,
 )
-from damsonlane_rpc._methods import HEARD, PERMIT, QUERY, STATUS, SUBMIT, Method
-from damsonlane_rpc._permit_messages import PermitReply, PermitRequest, Permits
+from damsonlane_rpc._methods import PERMIT, QUERY, REPORT_HEARTBEATS, STATUS, SUBMIT, Method
+from damsonlane_rpc._permit_messages import PermitBatchReply, PermitBatchRequest, Permits
 
 #: Seconds after which an unanswered call is retried at another replica.
 ATTEMPT_SECONDS: Final = 2.0
@@ -41,11 +41,11 @@
 #: Seconds between two rounds over all replicas.
 ROUND_PAUSE_SECONDS: Final = 0.1
 #: Key of the gRPC metadata that carries an operator's token.
-TOKEN_FIELD: Final = "damsonlane-token"
+TOKEN_METADATA_KEY: Final = "damsonlane-token"
 
 #: What a failed call raises.  The library raises `ProtocolError` for a stream that we leave
 #: before its end, and `StreamClosedError` for one that the peer closed.
-CALL_FAULTS: Final = (
+CALL_ERRORS: Final = (
     GRPCError,
     StreamTerminatedError,
     ProtocolError,
@@ -55,7 +55,9 @@
 )
 
 Request = TypeVar("Request")
-Answer = TypeVar("Answer", SubmitReply, QueryReply, GroupReply, HeardReply, PermitReply)
+Answer = TypeVar(
+    "Answer", SubmitReply, QueryReply, GroupReply, HeartbeatReportReply, PermitBatchReply
+)
 
 
 class ForbiddenError(UnavailableError):
@@ -130,11 +132,11 @@
         self._connect_seconds = connect_seconds
         self._addresses = list(addresses)
         self._context = context
-        self._metadata = {TOKEN_FIELD: token} if token else {}
+        self._metadata = {TOKEN_METADATA_KEY: token} if token else {}
         self._channels: dict[str, Channel] = {}
         self._leader = ""
 
-    def learn(self, addresses: Sequence[str]) -> None:
+    def update_addresses(self, addresses: Sequence[str]) -> None:
         """Prefer these addresses of replicas; keep the ones known before as a fallback."""
         fallback = [address for address in self._addresses if address not in addresses]
         self._addresses = [*addresses, *fallback][:MAX_ADDRESSES]
@@ -159,7 +161,7 @@
         """
         request = SubmitRequest(commands=tuple(commands))
         outcome = (await self._call_leader(SUBMIT, request, seconds, attempt_seconds)).outcome
-        if isinstance(outcome, Submitted):
+        if isinstance(outcome, Committed):
             return outcome.replies
         raise UnavailableError("control could not confirm the commands in time")
 
@@ -179,16 +181,18 @@
         """
         return await self._call_leader(QUERY, request, seconds, attempt_seconds)
 
-    async def tell_heard(self, targets: Sequence[str], seconds: float) -> None:
+    async def report_heartbeats(self, targets: Sequence[str], seconds: float) -> None:
         """Report to the leader which targets sent heartbeats to this box.
 
         Raises:
             UnavailableError: no leader accepted the report in time.
         """
-        request = HeardRequest(targets=tuple(targets))
-        await self._call_leader(HEARD, request, seconds, ATTEMPT_SECONDS)
+        request = HeartbeatReport(targets=tuple(targets))
+        await self._call_leader(REPORT_HEARTBEATS, request, seconds, ATTEMPT_SECONDS)
 
-    async def ask_permits(self, request: PermitRequest, seconds: float) -> tuple[Permit, ...]:
+    async def request_permits(
+        self, request: PermitBatchRequest, seconds: float
+    ) -> tuple[Permit, ...]:
         """Report announced rate limits to the leader and return the permits that it issues.
 
         Raises:
@@ -211,7 +215,7 @@
         """
         try:
             return await STATUS.unary(self.channel(address))(StatusRequest(), timeout=seconds)
-        except CALL_FAULTS as error:
+        except CALL_ERRORS as error:
             raise UnavailableError(f"{address} does not answer: {error}") from None
 
     def channel(self, address: str) -> Channel:
@@ -244,7 +248,7 @@
                 try:
                     timeout = min(remaining, attempt_seconds)
                     reply = await self._call_one(method, address, request, timeout)
-                except CALL_FAULTS as error:
+                except CALL_ERRORS as error:
                     last_error = f"{address}: {error or type(error).__name__}"
                     self._drop_channel(address)
                     continue
--- a/packages/damsonlane_rpc/src/damsonlane_rpc/_codec.py
+++ b/packages/damsonlane_rpc/src/damsonlane_rpc/_codec.py
@@ -17,7 +17,7 @@
 
 
 @dataclass
-class Traffic:
+class MessageCounters:
     """Mutable counts of the messages that one process sent and received."""
 
     messages_sent: int = 0
@@ -29,7 +29,7 @@
 
 
 #: The counts of this process, which its metrics show.
-TRAFFIC: Final = Traffic()
+MESSAGE_COUNTERS: Final = MessageCounters()
 
 
 class DataclassCodec(CodecBase):
@@ -45,14 +45,14 @@
         data = encode_bytes(message, message_type)
         if len(data) >= MIN_COMPRESSED_BYTES:
             data = zlib.compress(data, _COMPRESSION_LEVEL)
-        TRAFFIC.messages_sent += 1
-        TRAFFIC.bytes_sent += len(data)
+        MESSAGE_COUNTERS.messages_sent += 1
+        MESSAGE_COUNTERS.bytes_sent += len(data)
         return data
 
     def decode(self, data: bytes, message_type: Any) -> Any:
         """Return the decoded message."""
-        TRAFFIC.messages_received += 1
-        TRAFFIC.bytes_received += len(data)
+        MESSAGE_COUNTERS.messages_received += 1
+        MESSAGE_COUNTERS.bytes_received += len(data)
         if data.startswith(_ZLIB_PREFIX):
             data = zlib.decompress(data)
         return decode_bytes(data, message_type)
--- a/packages/damsonlane_rpc/src/damsonlane_rpc/_fleet_messages.py
+++ b/packages/damsonlane_rpc/src/damsonlane_rpc/_fleet_messages.py
@@ -83,7 +83,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class HeardRequest:
+class HeartbeatReport:
     """A follower's report to the leader of targets whose heartbeats it recently received."""
 
     #: Names of the targets.
@@ -91,7 +91,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class HeardReply:
+class HeartbeatReportReply:
     """Reply to a report of heartbeats."""
 
     #: ``done`` means that the leader counts the heartbeats as its own.
--- a/packages/damsonlane_rpc/src/damsonlane_rpc/_messages.py
+++ b/packages/damsonlane_rpc/src/damsonlane_rpc/_messages.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Submitted:
+class Committed:
     """All commands are committed."""
 
     kind: Literal["submitted"] = "submitted"
@@ -64,7 +64,7 @@
     """Reply to submitted commands."""
 
     #: The replies of the commands, or why there are none.
-    outcome: Annotated[Submitted | NotLeader | Unconfirmed | Forbidden, Field(discriminator="kind")]
+    outcome: Annotated[Committed | NotLeader | Unconfirmed | Forbidden, Field(discriminator="kind")]
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -319,12 +319,12 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class FoundRequest:
+class FoundGroupRequest:
     """Request to found a group whose only member is the receiving box."""
 
 
 @dataclass(frozen=True, kw_only=True)
-class AddRequest:
+class AddReplicaRequest:
     """Request to add a replica to the group."""
 
     #: Name of the replica, as its box reports it.
@@ -334,7 +334,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class RemoveRequest:
+class RemoveReplicaRequest:
     """Request to remove a replica from the group."""
 
     #: Name of the replica.
@@ -349,7 +349,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Denied:
+class GroupChangeDenied:
     """The members of the group can't be changed now."""
 
     kind: Literal["denied"] = "denied"
@@ -361,7 +361,9 @@
 class GroupReply:
     """Reply to a request to change the members of the group."""
 
-    outcome: Annotated[Done | Denied | NotLeader | Forbidden, Field(discriminator="kind")]
+    outcome: Annotated[
+        Done | GroupChangeDenied | NotLeader | Forbidden, Field(discriminator="kind")
+    ]
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/packages/damsonlane_rpc/src/damsonlane_rpc/_methods.py
+++ b/packages/damsonlane_rpc/src/damsonlane_rpc/_methods.py
@@ -12,21 +12,21 @@
 from damsonlane_rpc._fleet_messages import (
     FollowReport,
     FollowUpdate,
-    HeardReply,
-    HeardRequest,
+    HeartbeatReport,
+    HeartbeatReportReply,
     JoinReply,
     JoinRequest,
     PoolOrders,
     PoolResults,
 )
 from damsonlane_rpc._messages import (
-    AddRequest,
+    AddReplicaRequest,
     ExchangeEnd,
-    FoundRequest,
+    FoundGroupRequest,
     GroupReply,
     QueryReply,
     QueryRequest,
-    RemoveRequest,
+    RemoveReplicaRequest,
     StatusReply,
     StatusRequest,
     SubmitReply,
@@ -35,7 +35,7 @@
     WatchUpdate,
 )
 from damsonlane_rpc._peer_messages import PeerReply, PeerRequest
-from damsonlane_rpc._permit_messages import PermitReply, PermitRequest
+from damsonlane_rpc._permit_messages import PermitBatchReply, PermitBatchRequest
 
 Request = TypeVar("Request")
 Reply = TypeVar("Reply")
@@ -78,9 +78,9 @@
 SUBMIT: Final = _unary("/damsonlane.Control/Submit", SubmitRequest, SubmitReply)
 QUERY: Final = _unary("/damsonlane.Control/Query", QueryRequest, QueryReply)
 STATUS: Final = _unary("/damsonlane.Control/Status", StatusRequest, StatusReply)
-FOUND: Final = _unary("/damsonlane.Control/Found", FoundRequest, GroupReply)
-ADD: Final = _unary("/damsonlane.Control/Add", AddRequest, GroupReply)
-REMOVE: Final = _unary("/damsonlane.Control/Remove", RemoveRequest, GroupReply)
+FOUND_GROUP: Final = _unary("/damsonlane.Control/Found", FoundGroupRequest, GroupReply)
+ADD_REPLICA: Final = _unary("/damsonlane.Control/Add", AddReplicaRequest, GroupReply)
+REMOVE_REPLICA: Final = _unary("/damsonlane.Control/Remove", RemoveReplicaRequest, GroupReply)
 WATCH: Final = Method(
     path="/damsonlane.Control/Watch",
     cardinality=Cardinality.STREAM_STREAM,
@@ -94,8 +94,10 @@
     reply=ExchangeEnd,
 )
 JOIN: Final = _unary("/damsonlane.Replication/Join", JoinRequest, JoinReply)
-PERMIT: Final = _unary("/damsonlane.Control/Permit", PermitRequest, PermitReply)
-HEARD: Final = _unary("/damsonlane.Control/Heard", HeardRequest, HeardReply)
+PERMIT: Final = _unary("/damsonlane.Control/Permit", PermitBatchRequest, PermitBatchReply)
+REPORT_HEARTBEATS: Final = _unary(
+    "/damsonlane.Control/Heard", HeartbeatReport, HeartbeatReportReply
+)
 FOLLOW: Final = Method(
     path="/damsonlane.Control/Follow",
     cardinality=Cardinality.STREAM_STREAM,
@@ -111,7 +113,7 @@
 COMPARE: Final = _unary("/damsonlane.Peer/Compare", PeerRequest, PeerReply)
 
 
-class Service:
+class RpcService:
     """The methods that a process serves, in the form that grpclib expects.
 
     Args:
--- a/packages/damsonlane_rpc/src/damsonlane_rpc/_peer_messages.py
+++ b/packages/damsonlane_rpc/src/damsonlane_rpc/_peer_messages.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class LeavingTarget:
+class DrainingTarget:
     """A target that announced that it is draining."""
 
     #: Service of the target.
@@ -24,7 +24,7 @@
     #: Version of the settings in force at the requesting entry.
     version: int
     #: Targets that the requesting entry knows to be draining.
-    leaving: tuple[LeavingTarget, ...] = ()
+    leaving: tuple[DrainingTarget, ...] = ()
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -34,4 +34,4 @@
     #: Newer settings, or None if it has none.
     update: WatchUpdate | None
     #: Targets that the peer knows to be draining.
-    leaving: tuple[LeavingTarget, ...] = ()
+    leaving: tuple[DrainingTarget, ...] = ()
--- a/packages/damsonlane_rpc/src/damsonlane_rpc/_permit_messages.py
+++ b/packages/damsonlane_rpc/src/damsonlane_rpc/_permit_messages.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class PermitRequest:
+class PermitBatchRequest:
     """A box's request to the leader for permits, with its reports of rate limits."""
 
     #: Service of the targets for which permits are requested.
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class PermitReply:
+class PermitBatchReply:
     """Reply to a request for permits."""
 
     #: The permits, or which replica is the leader.
--- a/packages/damsonlane_rpc/src/damsonlane_rpc/_tls_reloader.py
+++ b/packages/damsonlane_rpc/src/damsonlane_rpc/_tls_reloader.py
@@ -18,7 +18,7 @@
 POLL_SECONDS: Final = 2.0
 
 
-class KeyWatch:
+class TlsReloader:
     """Reloads the TLS files of a box when they change; only new connections use them.
 
     Args:
--- a/packages/damsonlane_rpc/src/damsonlane_rpc/tests/test_codec.py
+++ b/packages/damsonlane_rpc/src/damsonlane_rpc/tests/test_codec.py
@@ -3,7 +3,7 @@
 import unittest
 
 from damsonlane.pools import PieceOrder
-from damsonlane_rpc import TRAFFIC, DataclassCodec, PoolOrders
+from damsonlane_rpc import MESSAGE_COUNTERS, DataclassCodec, PoolOrders
 from damsonlane_rpc._codec import MIN_COMPRESSED_BYTES
 
 _ORDER = PieceOrder(
@@ -41,10 +41,10 @@
                 self.assertLess(len(data), MIN_COMPRESSED_BYTES)
 
     def test_sent_bytes_are_counted_after_compression(self) -> None:
-        before = TRAFFIC.bytes_sent
+        before = MESSAGE_COUNTERS.bytes_sent
         message = PoolOrders(service="pool", orders=(_ORDER,) * 50)
         data = DataclassCodec().encode(message, PoolOrders)
-        self.assertEqual(TRAFFIC.bytes_sent - before, len(data))
+        self.assertEqual(MESSAGE_COUNTERS.bytes_sent - before, len(data))
 
 
 if __name__ == "__main__":
--- a/packages/damsonlane_rpc/src/damsonlane_rpc/tests/test_tls_reloader.py
+++ b/packages/damsonlane_rpc/src/damsonlane_rpc/tests/test_tls_reloader.py
@@ -10,7 +10,7 @@
 import trustme
 
 from damsonlane.settings import TlsFiles
-from damsonlane_rpc import KeyWatch, make_client_context, make_server_context
+from damsonlane_rpc import TlsReloader, make_client_context, make_server_context
 
 
 class TlsReloaderTest(unittest.IsolatedAsyncioTestCase):
@@ -47,7 +47,7 @@
 
     async def test_new_connections_use_the_renewed_certificate(self) -> None:
         context = make_server_context(self.files)
-        reloader = KeyWatch(self.files, [context])
+        reloader = TlsReloader(self.files, [context])
         server = await asyncio.start_server(lambda *_: None, "127.0.0.1", 0, ssl=context)
         address = server.sockets[0].getsockname()
         before = await self._read_serial(address)
@@ -58,7 +58,7 @@
         server.close()
 
     async def test_a_certificate_without_its_key_is_retried(self) -> None:
-        reloader = KeyWatch(self.files, [make_server_context(self.files)])
+        reloader = TlsReloader(self.files, [make_server_context(self.files)])
         self._renew(with_key=False)
         self.assertFalse(reloader.reload_if_changed())
         self._renew(with_key=True)
--- a/packages/damsonlaned/src/damsonlaned/_process.py
+++ b/packages/damsonlaned/src/damsonlaned/_process.py
@@ -18,8 +18,8 @@
 from damsonlane_rpc import (
     DataclassCodec,
     Endpoint,
-    KeyWatch,
-    Service,
+    RpcService,
+    TlsReloader,
     make_client_context,
     make_server_context,
 )
@@ -92,11 +92,11 @@
     def __init__(self, settings: BoxSettings) -> None:
         self.server: ssl.SSLContext | None = None
         self.client: ssl.SSLContext | None = None
-        self._reloader: KeyWatch | None = None
+        self._reloader: TlsReloader | None = None
         if settings.tls is not None:
             self.server = make_server_context(settings.tls)
             self.client = make_client_context(settings.tls)
-            self._reloader = KeyWatch(settings.tls, [self.server, self.client])
+            self._reloader = TlsReloader(settings.tls, [self.server, self.client])
             self._reloader.start()
 
     async def stop(self) -> None:
@@ -105,7 +105,7 @@
             await self._reloader.stop()
 
 
-async def serve_boxes(settings: BoxSettings, service: Service, keys: Keys) -> Server:
+async def serve_boxes(settings: BoxSettings, service: RpcService, keys: Keys) -> Server:
     """Start the server for calls of other boxes, and return it.
 
     Raises:
--- a/packages/damsonlaned/src/damsonlaned/control/_follow_service.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_follow_service.py
@@ -11,7 +11,7 @@
 from grpclib.server import Stream
 
 from damsonlane.membership import BoxRecord
-from damsonlane_rpc import CALL_FAULTS, FOLLOW, FollowReport, FollowUpdate
+from damsonlane_rpc import CALL_ERRORS, FOLLOW, FollowReport, FollowUpdate
 from damsonlaned.control._node import ControlNode
 from damsonlaned.tasks import start_task
 
@@ -79,7 +79,7 @@
             sent = _record_sent(sent, update)
             try:
                 await stream.send_message(update)
-            except CALL_FAULTS as error:
+            except CALL_ERRORS as error:
                 _LOG.info(
                     "stream to entry failed", extra={"entry": report.box.box, "fault": str(error)}
                 )
--- a/packages/damsonlaned/src/damsonlaned/control/_group_manager.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_group_manager.py
@@ -24,7 +24,7 @@
 from damsonlane.errors import AgreementError, NotLeaderError, StorageError, UnavailableError
 from damsonlane.settings import Founding
 from damsonlane_rpc import (
-    CALL_FAULTS,
+    CALL_ERRORS,
     JOIN,
     ControlClient,
     Done,
@@ -130,7 +130,9 @@
         if replica is None:
             await self._join_or_found()
             return
-        self._group_client.learn([member.address for member in replica.members.everyone()])
+        self._group_client.update_addresses(
+            [member.address for member in replica.members.everyone()]
+        )
         if replica.leader:
             self._leader_seen_at = self._node.now()
         if replica.is_leader:
@@ -194,7 +196,7 @@
         try:
             call = JOIN.unary(self._join_client.channel(address))
             return await call(request, timeout=JOIN_TIMEOUT_SECONDS)
-        except CALL_FAULTS as error:
+        except CALL_ERRORS as error:
             fault = str(error) or type(error).__name__
             _LOG.debug("join request failed", extra={"address": address, "fault": fault})
             return None
--- a/packages/damsonlaned/src/damsonlaned/control/_peer_streams.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_peer_streams.py
@@ -11,7 +11,7 @@
 from grpclib.client import Stream
 
 from damsonlane.agreement import Envelope, Member
-from damsonlane_rpc import CALL_FAULTS, EXCHANGE, ExchangeEnd, open_channel
+from damsonlane_rpc import CALL_ERRORS, EXCHANGE, ExchangeEnd, open_channel
 from damsonlaned.tasks import start_task
 
 #: Envelopes queued for a replica that does not accept them; the oldest are dropped first.
@@ -49,7 +49,7 @@
         while not self._is_closed:
             try:
                 await self._run_stream()
-            except CALL_FAULTS:
+            except CALL_ERRORS:
                 # Envelopes queued for a failed stream are stale; the leader sends again.
                 self._queue.clear()
             await asyncio.sleep(RECONNECT_SECONDS)
--- a/packages/damsonlaned/src/damsonlaned/control/_process.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_process.py
@@ -118,7 +118,7 @@
 
     def apply_settings(self, newer: BoxSettings) -> None:
         """Update the addresses from reloaded settings."""
-        self._client.learn(newer.control)
+        self._client.update_addresses(newer.control)
         if self._group is not None and newer.founding is not None:
             self._group.replace_seeds(newer.founding.seeds)
 
--- a/packages/damsonlaned/src/damsonlaned/control/_rate_limits.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_rate_limits.py
@@ -20,7 +20,7 @@
     RateWord,
     list_untold,
 )
-from damsonlane_rpc import PERMIT, NotLeader, PermitReply, PermitRequest, Permits
+from damsonlane_rpc import PERMIT, NotLeader, PermitBatchReply, PermitBatchRequest, Permits
 from damsonlaned.control._node import ControlNode
 from damsonlaned.tasks import start_task
 
@@ -62,16 +62,16 @@
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
-    async def _serve(self, stream: Stream[PermitRequest, PermitReply]) -> None:
+    async def _serve(self, stream: Stream[PermitBatchRequest, PermitBatchReply]) -> None:
         request = await stream.recv_message()
         if request is not None:
             await stream.send_message(self._answer(request))
 
-    def _answer(self, request: PermitRequest) -> PermitReply:
+    def _answer(self, request: PermitBatchRequest) -> PermitBatchReply:
         replica = self._node.replica
         if replica is None or not replica.is_leader:
             leader = replica.leader_address() if replica is not None else ""
-            return PermitReply(outcome=NotLeader(leader=leader))
+            return PermitBatchReply(outcome=NotLeader(leader=leader))
         self._begin_term(replica.term)
         now = self._node.now()
         for report in request.words:
@@ -79,7 +79,7 @@
                 # Starts to fill the token bucket now, not at the first request for a permit.
                 self._issuer.wait_seconds(report.named, 1.0, now)
         issued = (self._issuer.issue(request.service, order, 1.0, now) for order in request.orders)
-        return PermitReply(outcome=Permits(permits=tuple(issued)))
+        return PermitBatchReply(outcome=Permits(permits=tuple(issued)))
 
     def _begin_term(self, term: int) -> None:
         """Reset to the replicated limits at the first request in a new term of this leader.
--- a/packages/damsonlaned/src/damsonlaned/control/_registry.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_registry.py
@@ -23,7 +23,14 @@
     TargetRecord,
     find_record_fault,
 )
-from damsonlane_rpc import HEARD, ControlClient, Done, HeardReply, HeardRequest, NotLeader
+from damsonlane_rpc import (
+    REPORT_HEARTBEATS,
+    ControlClient,
+    Done,
+    HeartbeatReport,
+    HeartbeatReportReply,
+    NotLeader,
+)
 from damsonlaned.control._group_manager import GroupManager
 from damsonlaned.control._heartbeat_tracker import HeartbeatTracker
 from damsonlaned.control._known_services import KnownServices
@@ -101,7 +108,7 @@
 
     def handlers(self) -> Mapping[str, Handler]:
         """Return the handlers of calls from other replicas, by path."""
-        return {HEARD.path: HEARD.handler(self._serve_report)}
+        return {REPORT_HEARTBEATS.path: REPORT_HEARTBEATS.handler(self._serve_report)}
 
     async def start(self) -> None:
         """Start listening.
@@ -271,20 +278,20 @@
         """
         targets = self._heartbeats.take_unreported()
         if targets:
-            await self._client.tell_heard(targets, REPORT_TIMEOUT_SECONDS)
+            await self._client.report_heartbeats(targets, REPORT_TIMEOUT_SECONDS)
 
-    async def _serve_report(self, stream: Stream[HeardRequest, HeardReply]) -> None:
+    async def _serve_report(self, stream: Stream[HeartbeatReport, HeartbeatReportReply]) -> None:
         """Record, at the leader, the targets whose heartbeats another replica received."""
         request = await stream.recv_message()
         if request is None:
             return
         if not self._leader.is_local():
             outcome = NotLeader(leader=self._leader.address())
-            await stream.send_message(HeardReply(outcome=outcome))
+            await stream.send_message(HeartbeatReportReply(outcome=outcome))
             return
         for target in request.targets:
             self._heartbeats.record(target, self._node.now())
-        await stream.send_message(HeardReply(outcome=Done()))
+        await stream.send_message(HeartbeatReportReply(outcome=Done()))
 
     async def _mark_silent(self) -> None:
         """Commit, at the leader, the targets that became silent."""
--- a/packages/damsonlaned/src/damsonlaned/control/_service.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_service.py
@@ -20,23 +20,23 @@
 from damsonlane.quarantine import NoteTargetEnd, ReleaseRequest
 from damsonlane.settings import Operator
 from damsonlane_rpc import (
-    ADD,
+    ADD_REPLICA,
     EXCHANGE,
-    FOUND,
+    FOUND_GROUP,
     QUERY,
-    REMOVE,
+    REMOVE_REPLICA,
     STATUS,
     SUBMIT,
-    TOKEN_FIELD,
+    TOKEN_METADATA_KEY,
     WATCH,
-    AddRequest,
+    AddReplicaRequest,
     BoxesQuery,
     BoxesView,
     ChangeQuery,
     ChangeView,
+    Committed,
     CostsQuery,
     CostsView,
-    Denied,
     DocumentQuery,
     DocumentView,
     Done,
@@ -44,7 +44,8 @@
     EvacuationsView,
     ExchangeEnd,
     Forbidden,
-    FoundRequest,
+    FoundGroupRequest,
+    GroupChangeDenied,
     GroupReply,
     HistoryQuery,
     HistoryView,
@@ -53,15 +54,14 @@
     QuarantineView,
     QueryReply,
     QueryRequest,
-    RemoveRequest,
-    Service,
+    RemoveReplicaRequest,
+    RpcService,
     SettingsQuery,
     SettingsView,
     StatusReply,
     StatusRequest,
     SubmitReply,
     SubmitRequest,
-    Submitted,
     Unconfirmed,
     WatchReport,
     WatchUpdate,
@@ -87,21 +87,21 @@
     def __init__(self, node: ControlNode) -> None:
         self._node: Final = node
 
-    def service(self, more: Mapping[str, Handler]) -> Service:
+    def service(self, more: Mapping[str, Handler]) -> RpcService:
         """Return the grpclib service with these calls and additional handlers.
 
         Args:
             more: additional handlers by path.
         """
-        return Service(
+        return RpcService(
             {
                 **more,
                 SUBMIT.path: SUBMIT.handler(self.submit),
                 QUERY.path: QUERY.handler(self.query),
                 STATUS.path: STATUS.handler(self.status),
-                FOUND.path: FOUND.handler(self.found),
-                ADD.path: ADD.handler(self.add),
-                REMOVE.path: REMOVE.handler(self.remove),
+                FOUND_GROUP.path: FOUND_GROUP.handler(self.found),
+                ADD_REPLICA.path: ADD_REPLICA.handler(self.add),
+                REMOVE_REPLICA.path: REMOVE_REPLICA.handler(self.remove),
                 WATCH.path: WATCH.handler(self.watch),
                 EXCHANGE.path: EXCHANGE.handler(self.exchange),
             }
@@ -124,7 +124,7 @@
         if await stream.recv_message() is not None:
             await stream.send_message(self._status())
 
-    async def found(self, stream: Stream[FoundRequest, GroupReply]) -> None:
+    async def found(self, stream: Stream[FoundGroupRequest, GroupReply]) -> None:
         """Found a control group with this box as its only member."""
         if await stream.recv_message() is None:
             return
@@ -132,16 +132,16 @@
             self._node.found_group()
             reply = GroupReply(outcome=Done())
         except AgreementError as error:
-            reply = GroupReply(outcome=Denied(detail=str(error)))
+            reply = GroupReply(outcome=GroupChangeDenied(detail=str(error)))
         await stream.send_message(reply)
 
-    async def add(self, stream: Stream[AddRequest, GroupReply]) -> None:
+    async def add(self, stream: Stream[AddReplicaRequest, GroupReply]) -> None:
         """Add a replica to the group."""
         request = await stream.recv_message()
         if request is not None:
             await stream.send_message(self._change_group(stream, request))
 
-    async def remove(self, stream: Stream[RemoveRequest, GroupReply]) -> None:
+    async def remove(self, stream: Stream[RemoveReplicaRequest, GroupReply]) -> None:
         """Remove a replica from the group."""
         request = await stream.recv_message()
         if request is not None:
@@ -204,7 +204,7 @@
         if needs_editor and not self._may_change(operator):
             return SubmitReply(outcome=Forbidden(detail="an editor's token is needed"))
         try:
-            return SubmitReply(outcome=Submitted(replies=await self._node.submit(commands)))
+            return SubmitReply(outcome=Committed(replies=await self._node.submit(commands)))
         except NotLeaderError as error:
             return SubmitReply(outcome=NotLeader(leader=error.leader))
         except UnavailableError:
@@ -255,20 +255,20 @@
 
     def _change_group(
         self,
-        stream: Stream[AddRequest, GroupReply] | Stream[RemoveRequest, GroupReply],
-        request: AddRequest | RemoveRequest,
+        stream: Stream[AddReplicaRequest, GroupReply] | Stream[RemoveReplicaRequest, GroupReply],
+        request: AddReplicaRequest | RemoveReplicaRequest,
     ) -> GroupReply:
         if not self._may_change(self._authenticate(stream)):
             return GroupReply(outcome=Forbidden(detail="an editor's token is needed"))
         try:
-            if isinstance(request, AddRequest):
+            if isinstance(request, AddReplicaRequest):
                 self._node.add(request.replica, request.address)
             else:
                 self._node.remove(request.replica)
         except NotLeaderError as error:
             return GroupReply(outcome=NotLeader(leader=error.leader))
         except AgreementError as error:
-            return GroupReply(outcome=Denied(detail=str(error)))
+            return GroupReply(outcome=GroupChangeDenied(detail=str(error)))
         return GroupReply(outcome=Done())
 
     def _status(self) -> StatusReply:
@@ -298,12 +298,12 @@
         self,
         stream: Stream[SubmitRequest, SubmitReply]
         | Stream[QueryRequest, QueryReply]
-        | Stream[AddRequest, GroupReply]
-        | Stream[RemoveRequest, GroupReply],
+        | Stream[AddReplicaRequest, GroupReply]
+        | Stream[RemoveReplicaRequest, GroupReply],
     ) -> str:
         """Return the name of the operator with the token of the call, or an empty string."""
         metadata = stream.metadata
-        token = metadata.get(TOKEN_FIELD, "") if metadata is not None else ""
+        token = metadata.get(TOKEN_METADATA_KEY, "") if metadata is not None else ""
         digest = hashlib.sha256(str(token).encode()).hexdigest()
         for name, operator in self._operators().items():
             if operator.token_digest == digest:
--- a/packages/damsonlaned/src/damsonlaned/control/tests/boxes.py
+++ b/packages/damsonlaned/src/damsonlaned/control/tests/boxes.py
@@ -10,7 +10,7 @@
 from grpclib.server import Server
 
 from damsonlane.settings import BoxSettings, Founding
-from damsonlane_rpc import ControlClient, DataclassCodec, Endpoint, Service
+from damsonlane_rpc import ControlClient, DataclassCodec, Endpoint, RpcService
 from damsonlaned.control import ControlNode, ControlService, FollowService, GroupManager
 from damsonlaned.control._rate_limits import RateLimitService
 from damsonlaned.storage import DataFolder
@@ -25,7 +25,7 @@
 class AbortingServer(Server):
     """A server that aborts its connections when it stops, like a process that exits."""
 
-    def __init__(self, service: Service) -> None:
+    def __init__(self, service: RpcService) -> None:
         super().__init__([service], codec=DataclassCodec())
         self.protocols: list[H2Protocol] = []
 
--- a/packages/damsonlaned/src/damsonlaned/control/tests/test_rate_limits.py
+++ b/packages/damsonlaned/src/damsonlaned/control/tests/test_rate_limits.py
@@ -2,7 +2,7 @@
 
 from damsonlane.backoff import TargetStart
 from damsonlane.ratelimit import Permit, PermitOrder, RateWord
-from damsonlane_rpc import PermitRequest
+from damsonlane_rpc import PermitBatchRequest
 from damsonlaned.control.tests.boxes import TEST_TIMEOUT_SECONDS, Box, GroupCase
 
 TARGET = TargetStart(target="encode/t1", address="127.0.0.1:9")
@@ -14,8 +14,8 @@
     async def request_permits(self, *reports: RateWord, count: int = 1) -> tuple[Permit, ...]:
         """Request permits from the leader."""
         orders = tuple(PermitOrder(number=number, targets=(TARGET,)) for number in range(count))
-        request = PermitRequest(service="encode", orders=orders, words=reports)
-        return await self.running[0].client.ask_permits(request, TEST_TIMEOUT_SECONDS)
+        request = PermitBatchRequest(service="encode", orders=orders, words=reports)
+        return await self.running[0].client.request_permits(request, TEST_TIMEOUT_SECONDS)
 
     def find_leader(self) -> Box:
         return next(box for box in self.running if box.is_leader())
@@ -59,6 +59,6 @@
         await self.wait(
             lambda: not leader.is_leader(), "a leader without a quorum does not step down"
         )
-        request = PermitRequest(service="encode")
+        request = PermitBatchRequest(service="encode")
         reply = leader.limits._answer(request)
         self.assertEqual(reply.outcome.kind, "not-leader")
--- a/packages/damsonlaned/src/damsonlaned/control/tests/test_registry.py
+++ b/packages/damsonlaned/src/damsonlaned/control/tests/test_registry.py
@@ -16,13 +16,13 @@
 from damsonlane.settings import BoxSettings
 from damsonlane.targets import TargetRecord
 from damsonlane_rpc import (
-    HEARD,
+    REPORT_HEARTBEATS,
     ControlClient,
     DataclassCodec,
     Done,
-    HeardRequest,
+    HeartbeatReport,
     NotLeader,
-    Service,
+    RpcService,
     open_channel,
 )
 from damsonlaned.control import ControlNode, GroupManager, Registry
@@ -61,7 +61,7 @@
     def __init__(self) -> None:
         self.reported: list[tuple[str, ...]] = []
 
-    async def tell_heard(self, targets: Sequence[str], _seconds: float) -> None:
+    async def report_heartbeats(self, targets: Sequence[str], _seconds: float) -> None:
         self.reported.append(tuple(targets))
 
 
@@ -138,7 +138,7 @@
 
     async def serve_other_replicas(self) -> Channel:
         """Serve the calls of other replicas and return a channel to them."""
-        server = Server([Service(dict(self.registry.handlers()))], codec=DataclassCodec())
+        server = Server([RpcService(dict(self.registry.handlers()))], codec=DataclassCodec())
         address = find_address()
         host, _, port = address.rpartition(":")
         await server.start(host, int(port))
@@ -282,8 +282,8 @@
         await self.send_heartbeat()
         self.backdate_heartbeat("t1")
         channel = await self.serve_other_replicas()
-        reply = await HEARD.unary(channel)(
-            HeardRequest(targets=("t1",)), timeout=TEST_TIMEOUT_SECONDS
+        reply = await REPORT_HEARTBEATS.unary(channel)(
+            HeartbeatReport(targets=("t1",)), timeout=TEST_TIMEOUT_SECONDS
         )
         self.assertIsInstance(reply.outcome, Done)
         await self.registry._mark_silent()
@@ -306,8 +306,8 @@
     async def test_a_follower_rejects_reported_heartbeats(self) -> None:
         channel = await self.serve_other_replicas()
         self.depose()
-        reply = await HEARD.unary(channel)(
-            HeardRequest(targets=("t1",)), timeout=TEST_TIMEOUT_SECONDS
+        reply = await REPORT_HEARTBEATS.unary(channel)(
+            HeartbeatReport(targets=("t1",)), timeout=TEST_TIMEOUT_SECONDS
         )
         self.assertIsInstance(reply.outcome, NotLeader)
         self.assertNotIn("t1", self.registry._heartbeats)
--- a/packages/damsonlaned/src/damsonlaned/entry/_draining_targets.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_draining_targets.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 from typing import Final
 
-from damsonlane_rpc import LeavingTarget
+from damsonlane_rpc import DrainingTarget
 from damsonlaned.clock import read_clock
 
 #: Seconds after which a report of a draining target expires unless a source repeats it.
@@ -39,18 +39,18 @@
                 target for target, reported_at in known.items() if reported_at > oldest
             )
 
-    def list_all(self) -> tuple[LeavingTarget, ...]:
+    def list_all(self) -> tuple[DrainingTarget, ...]:
         """Return all draining targets, to report them to other entries."""
         now = read_clock()
         with self._lock:
             return tuple(
-                LeavingTarget(service=service, target=target, age=now - reported_at)
+                DrainingTarget(service=service, target=target, age=now - reported_at)
                 for service, known in self._reported_at.items()
                 for target, reported_at in known.items()
                 if now - reported_at < EXPIRY_SECONDS
             )
 
-    def merge(self, reports: Iterable[LeavingTarget]) -> None:
+    def merge(self, reports: Iterable[DrainingTarget]) -> None:
         """Merge the reports of another entry."""
         for report in reports:
             self.record(report.service, report.target, report.age)
--- a/packages/damsonlaned/src/damsonlaned/entry/_peer_service.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_peer_service.py
@@ -4,7 +4,7 @@
 
 from grpclib.server import Stream
 
-from damsonlane_rpc import COMPARE, PeerReply, PeerRequest, Service, WatchUpdate
+from damsonlane_rpc import COMPARE, PeerReply, PeerRequest, RpcService, WatchUpdate
 from damsonlaned.entry._draining_targets import DrainingTargets
 from damsonlaned.entry._settings_view import SettingsView
 
@@ -16,9 +16,9 @@
         self._view: Final = view
         self._draining: Final = draining
 
-    def service(self) -> Service:
+    def service(self) -> RpcService:
         """Return the RPC handlers in the form that grpclib expects."""
-        return Service({COMPARE.path: COMPARE.handler(self.compare)})
+        return RpcService({COMPARE.path: COMPARE.handler(self.compare)})
 
     async def compare(self, stream: Stream[PeerRequest, PeerReply]) -> None:
         """Answer with the draining targets, and the settings in force here if they are newer."""
--- a/packages/damsonlaned/src/damsonlaned/entry/_permit_client.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_permit_client.py
@@ -7,7 +7,7 @@
 
 from damsonlane.errors import UnavailableError
 from damsonlane.ratelimit import Permit, RateWord
-from damsonlane_rpc import ControlClient, PermitRequest
+from damsonlane_rpc import ControlClient, PermitBatchRequest
 from damsonlaned.tasks import start_task
 
 _LOG: Final = logging.getLogger(__name__)
@@ -34,9 +34,9 @@
         """Report a rate limit that a target announced, without waiting."""
         self._loop.call_soon_threadsafe(self._start_report, report)
 
-    def request_permits(self, request: PermitRequest) -> tuple[Permit, ...] | None:
+    def request_permits(self, request: PermitBatchRequest) -> tuple[Permit, ...] | None:
         """Return the permits that control issues, or None if it does not answer in time."""
-        call = self._client.ask_permits(request, REQUEST_TIMEOUT_SECONDS)
+        call = self._client.request_permits(request, REQUEST_TIMEOUT_SECONDS)
         future = asyncio.run_coroutine_threadsafe(call, self._loop)
         try:
             return future.result(2 * REQUEST_TIMEOUT_SECONDS)
@@ -52,7 +52,9 @@
 
     async def _send_report(self, report: RateWord) -> None:
         try:
-            await self._client.ask_permits(PermitRequest(words=(report,)), REPORT_TIMEOUT_SECONDS)
+            await self._client.request_permits(
+                PermitBatchRequest(words=(report,)), REPORT_TIMEOUT_SECONDS
+            )
         except UnavailableError as error:
             # The next permit request reports it, and so does the next response that announces it.
             _LOG.info("rate limit not reported to control", extra={"fault": str(error)})
--- a/packages/damsonlaned/src/damsonlaned/entry/_rate_limited_targets.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_rate_limited_targets.py
@@ -15,7 +15,7 @@
     list_changes,
 )
 from damsonlane.routing import Standing
-from damsonlane_rpc import PermitRequest
+from damsonlane_rpc import PermitBatchRequest
 from damsonlaned.clock import read_clock
 
 _LOG: Final = logging.getLogger(__name__)
@@ -29,7 +29,7 @@
 class PermitSource(Protocol):
     """Issues permits and receives reports of rate limits."""
 
-    def request_permits(self, request: PermitRequest) -> tuple[Permit, ...] | None:
+    def request_permits(self, request: PermitBatchRequest) -> tuple[Permit, ...] | None:
         """Return the issued permits, or None on a timeout."""
 
     def report(self, report: RateWord) -> None:
@@ -39,7 +39,7 @@
 class NoPermitSource:
     """Issues no permits: without control, rate-limited targets get nothing."""
 
-    def request_permits(self, _: PermitRequest) -> None:
+    def request_permits(self, _: PermitBatchRequest) -> None:
         """Return no permits."""
 
     def report(self, _: RateWord) -> None:
@@ -138,7 +138,7 @@
             reports = tuple(self._table.find_word(incarnation, now) for incarnation in targets)
         order = PermitOrder(number=0, targets=targets, is_last=is_last)
         permits = self._source.request_permits(
-            PermitRequest(service=service, orders=(order,), words=reports)
+            PermitBatchRequest(service=service, orders=(order,), words=reports)
         )
         if not permits:
             permit = Permit(
--- a/packages/damsonlaned/src/damsonlaned/entry/_settings_follower.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_settings_follower.py
@@ -16,7 +16,7 @@
 from damsonlane.ratelimit import RateLimitList
 from damsonlane.settings import BoxSettings
 from damsonlane_rpc import (
-    CALL_FAULTS,
+    CALL_ERRORS,
     COMPARE,
     WATCH,
     ControlClient,
@@ -110,7 +110,7 @@
             try:
                 await self._read_confirmed()
                 await self._watch(random.choice(self._settings.control))
-            except (UnavailableError, TimeoutError, *CALL_FAULTS) as error:
+            except (UnavailableError, TimeoutError, *CALL_ERRORS) as error:
                 _LOG.warning(
                     "lost contact with control", extra={"fault": str(error) or type(error).__name__}
                 )
@@ -200,7 +200,7 @@
             if reply.update is not None:
                 self._apply_settings(reply.update)
             self._draining.merge(reply.leaving)
-        except CALL_FAULTS as error:
+        except CALL_ERRORS as error:
             _LOG.debug("peer does not answer", extra={"fault": str(error)})
         finally:
             channel.close()
--- a/packages/damsonlaned/src/damsonlaned/entry/tests/test_rate_limits.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/tests/test_rate_limits.py
@@ -17,7 +17,7 @@
 from damsonlane.ratelimit import Permit, PermitIssuer, RateLimitBook, RateWord
 from damsonlane.requests import AttemptResult
 from damsonlane.settings import Tree, check_tree
-from damsonlane_rpc import PermitRequest
+from damsonlane_rpc import PermitBatchRequest
 from damsonlaned.entry._dispatcher import Dispatcher
 from damsonlaned.entry._draining_targets import DrainingTargets
 from damsonlaned.entry._rate_limited_targets import RateLimitedTargets
@@ -46,7 +46,7 @@
         self._issuer = PermitIssuer(self._table)
         self._lock = threading.Lock()
 
-    def request_permits(self, request: PermitRequest) -> tuple[Permit, ...] | None:
+    def request_permits(self, request: PermitBatchRequest) -> tuple[Permit, ...] | None:
         now = time.monotonic()
         with self._lock:
             for report in request.words:
@@ -56,7 +56,7 @@
             )
 
     def report(self, report: RateWord) -> None:
-        self.request_permits(PermitRequest(words=(report,)))
+        self.request_permits(PermitBatchRequest(words=(report,)))
 
 
 class RateLimitedTarget(FakeTarget):
--- a/packages/damsonlaned/src/damsonlaned/gateway/_control_follower.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_control_follower.py
@@ -14,7 +14,7 @@
 from damsonlane.ledger import Holder
 from damsonlane.settings import BoxSettings
 from damsonlane_rpc import (
-    CALL_FAULTS,
+    CALL_ERRORS,
     FOLLOW,
     FollowReport,
     FollowUpdate,
@@ -108,7 +108,7 @@
             try:
                 await self._follow(address)
                 fault = "no fresh state from the replica"
-            except (TimeoutError, *CALL_FAULTS) as error:
+            except (TimeoutError, *CALL_ERRORS) as error:
                 fault = str(error) or type(error).__name__
             _LOG.warning("lost contact with control", extra={"address": address, "fault": fault})
             await asyncio.sleep(RECONNECT_SECONDS * random.uniform(0.5, 1.5))
--- a/packages/damsonlaned/src/damsonlaned/gateway/_limit_reports.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_limit_reports.py
@@ -7,7 +7,7 @@
 from damsonlane.backoff import TargetStart
 from damsonlane.errors import UnavailableError
 from damsonlane.ratelimit import RateWord
-from damsonlane_rpc import ControlClient, PermitRequest
+from damsonlane_rpc import ControlClient, PermitBatchRequest
 from damsonlaned.gateway._view import FleetView
 from damsonlaned.tasks import start_task
 
@@ -55,7 +55,9 @@
             await asyncio.sleep(BATCH_SECONDS)
             reports = tuple(self._waiting.values())
             try:
-                await self._client.ask_permits(PermitRequest(words=reports), REPORT_TIMEOUT_SECONDS)
+                await self._client.request_permits(
+                    PermitBatchRequest(words=reports), REPORT_TIMEOUT_SECONDS
+                )
             except UnavailableError as error:
                 _LOG.info("rate limits not reported to control", extra={"fault": str(error)})
                 await asyncio.sleep(RETRY_SECONDS)
--- a/packages/damsonlaned/src/damsonlaned/gateway/_node.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_node.py
@@ -176,7 +176,7 @@
         reply.send_whole(HttpResponse(status=200 if is_ready else 503))
 
     def _update_control(self, addresses: tuple[str, ...]) -> None:
-        self._control.learn(addresses)
+        self._control.update_addresses(addresses)
 
     def _find_data_centre(self, handle: str) -> str:
         return self._view.data_centre_at(self._dialect.read_maker(handle))
--- a/packages/damsonlaned/src/damsonlaned/gateway/_owner_link.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_owner_link.py
@@ -10,7 +10,7 @@
 from damsonlane.placing import Placement
 from damsonlane.pools import PieceResult
 from damsonlane.ratelimit import Permit
-from damsonlane_rpc import CALL_FAULTS, POOL, PoolOrders, PoolResults, open_channel
+from damsonlane_rpc import CALL_ERRORS, POOL, PoolOrders, PoolResults, open_channel
 from damsonlaned.tasks import start_task
 
 #: Seconds without a message from an owner, while results are awaited, after which its
@@ -94,7 +94,7 @@
             async with POOL.stream(channel).open() as stream:
                 await stream.send_request()
                 await self._exchange(stream)
-        except CALL_FAULTS as error:
+        except CALL_ERRORS as error:
             fault = str(error) or type(error).__name__
         finally:
             channel.close()
--- a/packages/damsonlaned/src/damsonlaned/gateway/_pool_service.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_pool_service.py
@@ -11,7 +11,7 @@
 from damsonlane.placing import Placement
 from damsonlane.pools import PieceResult
 from damsonlane.ratelimit import Permit
-from damsonlane_rpc import CALL_FAULTS, POOL, PoolOrders, PoolResults
+from damsonlane_rpc import CALL_ERRORS, POOL, PoolOrders, PoolResults
 from damsonlaned.gateway._placer import PromptPlacers
 from damsonlaned.gateway._pool_owners import PoolOwners
 from damsonlaned.gateway._rate_limits import RateLimits
@@ -49,7 +49,7 @@
         finally:
             self._owners.detach(sender)
             push_task.cancel()
-            with contextlib.suppress(asyncio.CancelledError, *CALL_FAULTS):
+            with contextlib.suppress(asyncio.CancelledError, *CALL_ERRORS):
                 await push_task
 
     def _process(self, sender: str, message: PoolOrders, outgoing: "_SendBuffer") -> None:
--- a/packages/damsonlaned/src/damsonlaned/gateway/_process.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_process.py
@@ -4,7 +4,7 @@
 from typing import Final
 
 from damsonlane.settings import BoxSettings, Gateway
-from damsonlane_rpc import Service
+from damsonlane_rpc import RpcService
 from damsonlaned._process import (
     Keys,
     Reload,
@@ -25,7 +25,7 @@
     node = GatewayNode(settings, gateway, keys.client)
 
     watch = SettingsWatch(settings, reload, lambda newer: node.replace_seeds(newer.control))
-    server = await serve_boxes(settings, Service(dict(node.handlers())), keys)
+    server = await serve_boxes(settings, RpcService(dict(node.handlers())), keys)
     await node.start()
     _LOG.info("started")
     await wait_for_stop(watch)
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/fleet.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/fleet.py
@@ -5,7 +5,7 @@
 
 from damsonlane.routes import RoutingDocument
 from damsonlane.targets import TargetRecord
-from damsonlane_rpc import Service
+from damsonlane_rpc import RpcService
 from damsonlaned.gateway._pool_service import PoolService
 from damsonlaned.gateway.tests.harness import Entry
 from damsonlaned.gateway.tests.test_links import make_record, serve
@@ -30,7 +30,7 @@
         """Start all entries; the test stops them."""
         for entry in self.entries:
             service = PoolService(entry.owners, entry.placers, entry.view.limits)
-            await serve(test, entry.address, Service(dict(service.handlers())))
+            await serve(test, entry.address, RpcService(dict(service.handlers())))
         for entry in self.entries:
             await entry.start(*records)
             test.addAsyncCleanup(entry.stop)
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_links.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_links.py
@@ -24,7 +24,7 @@
     FollowUpdate,
     PoolOrders,
     PoolResults,
-    Service,
+    RpcService,
 )
 from damsonlaned.dialects import NativeDialect
 from damsonlaned.gateway._control_follower import ControlFollower
@@ -48,7 +48,7 @@
     return PackedDocument.pack(version, text)
 
 
-async def serve(test: unittest.IsolatedAsyncioTestCase, address: str, service: Service) -> None:
+async def serve(test: unittest.IsolatedAsyncioTestCase, address: str, service: RpcService) -> None:
     server = Server([service], codec=DataclassCodec())
     host, _, port = address.rpartition(":")
     await server.start(host, int(port))
@@ -76,8 +76,8 @@
         self.is_silent = False
         self.followers = 0
 
-    def service(self) -> Service:
-        return Service({FOLLOW.path: FOLLOW.handler(self._follow)})
+    def service(self) -> RpcService:
+        return RpcService({FOLLOW.path: FOLLOW.handler(self._follow)})
 
     async def _follow(self, stream: Stream[FollowReport, FollowUpdate]) -> None:
         report = await stream.recv_message()
@@ -214,7 +214,7 @@
         service = PoolService(
             self.owner.owners, PromptPlacers(self.owner.view), self.owner.view.limits
         )
-        await serve(self, self.address, Service(dict(service.handlers())))
+        await serve(self, self.address, RpcService(dict(service.handlers())))
         self.orderer.view.put_entries((make_record(self.address),))
         async with asyncio.timeout(PATIENCE):
             results = await asyncio.gather(*self.order(6))
@@ -252,7 +252,7 @@
             async for _ in stream:
                 pass
 
-        await serve(self, self.address, Service({POOL.path: POOL.handler(swallow)}))
+        await serve(self, self.address, RpcService({POOL.path: POOL.handler(swallow)}))
         self.orderer.view.put_entries((make_record(self.address), make_record("127.0.0.1:9")))
         with mock.patch.object(self.orderer.pools, "find_owner", self._find_gone_owner_first()):
             async with asyncio.timeout(PATIENCE):
@@ -285,7 +285,7 @@
         service = PoolService(
             self.owner.owners, PromptPlacers(self.owner.view), self.owner.view.limits
         )
-        await serve(self, self.address, Service(dict(service.handlers())))
+        await serve(self, self.address, RpcService(dict(service.handlers())))
         self.owner.view.put_entries((make_record(self.address),))
         self.orderer.view.put_entries((make_record(self.address),))
         self.pool._answer = make_pieces(lambda: self.pool.address, seconds=0.3)
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_placement.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_placement.py
@@ -10,7 +10,7 @@
 from damsonlane.routes import EngineTraits
 from damsonlane.routes import Service as RouteService
 from damsonlane.targets import TargetRecord
-from damsonlane_rpc import POOL, PoolOrders, PoolResults, Service
+from damsonlane_rpc import POOL, PoolOrders, PoolResults, RpcService
 from damsonlaned.gateway import _placement_client
 from damsonlaned.gateway._placement_client import PlacedPrompt, PlacementClient
 from damsonlaned.gateway._placer import PromptPlacers
@@ -61,7 +61,7 @@
 
     async def serve(self) -> None:
         service = PoolService(self.owner.owners, self.placers, self.owner.view.limits)
-        await serve(self, self.address, Service(dict(service.handlers())))
+        await serve(self, self.address, RpcService(dict(service.handlers())))
 
     async def test_another_entry_chooses_a_live_engine(self) -> None:
         await self.serve()
@@ -105,7 +105,7 @@
             async for message in stream:
                 asked.append(message)
 
-        await serve(self, self.address, Service({POOL.path: POOL.handler(ignore)}))
+        await serve(self, self.address, RpcService({POOL.path: POOL.handler(ignore)}))
         self.assertIsNone(await self.client.place("engines", ORDER))
         await wait(lambda: bool(asked))
         self.assertIsNone(await self.client.place("engines", ORDER))
--- a/packages/damsonlaned/src/damsonlaned/metrics.py
+++ b/packages/damsonlaned/src/damsonlaned/metrics.py
@@ -5,7 +5,7 @@
 from aioprometheus.collectors import Counter, Gauge, Histogram, Registry
 from aioprometheus.renderer import render
 
-from damsonlane_rpc import TRAFFIC
+from damsonlane_rpc import MESSAGE_COUNTERS
 
 #: Upper bounds of the buckets of time histograms, in seconds.
 _TIME_BUCKETS: Final = [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0]
@@ -90,9 +90,9 @@
 
     def render(self) -> bytes:
         """Return all metrics in the Prometheus text format."""
-        self.messages.set({"direction": "sent"}, TRAFFIC.messages_sent)
-        self.messages.set({"direction": "received"}, TRAFFIC.messages_received)
-        self.bytes.set({"direction": "sent"}, TRAFFIC.bytes_sent)
-        self.bytes.set({"direction": "received"}, TRAFFIC.bytes_received)
+        self.messages.set({"direction": "sent"}, MESSAGE_COUNTERS.messages_sent)
+        self.messages.set({"direction": "received"}, MESSAGE_COUNTERS.messages_received)
+        self.bytes.set({"direction": "sent"}, MESSAGE_COUNTERS.bytes_sent)
+        self.bytes.set({"direction": "received"}, MESSAGE_COUNTERS.bytes_received)
         content, _ = render(self.registry, [])
         return bytes(content)
