--- a/packages/damsonlaned/src/damsonlaned/_process.py
+++ b/packages/damsonlaned/src/damsonlaned/_process.py
@@ -65,7 +65,7 @@
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     configure_logs(settings.name, settings.role)
     _LOG.info("starting", extra={"pid": os.getpid()})
-    keys = Keys(settings)
+    keys = TlsContexts(settings)
     try:
         # Each role imports only what it uses, which saves memory and start-up time on small boxes.
         if settings.role == "control":
@@ -86,7 +86,7 @@
         await keys.stop()
 
 
-class Keys:
+class TlsContexts:
     """The TLS contexts of a process, reloaded when their files change; None without TLS."""
 
     def __init__(self, settings: BoxSettings) -> None:
@@ -105,7 +105,7 @@
             await self._reloader.stop()
 
 
-async def serve_boxes(settings: BoxSettings, service: RpcService, keys: Keys) -> Server:
+async def start_rpc_server(settings: BoxSettings, service: RpcService, keys: TlsContexts) -> Server:
     """Start the server for calls of other boxes, and return it.
 
     Raises:
@@ -121,13 +121,13 @@
     return server
 
 
-async def close_server(server: Server) -> None:
+async def stop_rpc_server(server: Server) -> None:
     """Stop the server for calls of other boxes."""
     server.close()
     await server.wait_closed()
 
 
-class SettingsWatch:
+class SettingsReloader:
     """Reloads the settings of the box and reports changes.
 
     Args:
@@ -162,7 +162,7 @@
             self._on_change(newer)
 
 
-async def wait_for_stop(watch: SettingsWatch) -> None:
+async def wait_for_stop(watch: SettingsReloader) -> None:
     """Wait for SIGTERM or SIGINT, and reload the settings on SIGHUP and at intervals."""
     stopped = asyncio.Event()
     loop = asyncio.get_running_loop()
--- a/packages/damsonlaned/src/damsonlaned/admin.py
+++ b/packages/damsonlaned/src/damsonlaned/admin.py
@@ -9,7 +9,7 @@
 _TEXT: Final = ((b"Content-Type", b"text/plain"),)
 
 
-class Admin:
+class AdminServer:
     """Serves ``/metrics``, ``/livez`` and ``/readyz``.
 
     Args:
--- a/packages/damsonlaned/src/damsonlaned/control/_process.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_process.py
@@ -11,14 +11,14 @@
 from damsonlane.settings import BoxSettings, Founding, Gateway
 from damsonlane_rpc import ControlClient
 from damsonlaned._process import (
-    Keys,
     Reload,
-    SettingsWatch,
-    close_server,
-    serve_boxes,
+    SettingsReloader,
+    TlsContexts,
+    start_rpc_server,
+    stop_rpc_server,
     wait_for_stop,
 )
-from damsonlaned.admin import Admin
+from damsonlaned.admin import AdminServer
 from damsonlaned.control._follow_service import FollowService
 from damsonlaned.control._group_manager import GroupManager
 from damsonlaned.control._membership import MembershipUpdater
@@ -38,7 +38,7 @@
 
 
 async def run_control(
-    settings: BoxSettings, folder: DataFolder, keys: Keys, reload: Reload | None
+    settings: BoxSettings, folder: DataFolder, keys: TlsContexts, reload: Reload | None
 ) -> None:
     """Run the replica until the process is told to stop.
 
@@ -60,7 +60,7 @@
         for replica in running:
             replica.apply_settings(newer)
 
-    watch = SettingsWatch(settings, reload, apply_settings)
+    watch = SettingsReloader(settings, reload, apply_settings)
     # Signals are handled from here on, in whatever state the replica and its disk are.
     stop = asyncio.create_task(wait_for_stop(watch))
     try:
@@ -100,12 +100,12 @@
         StorageError: the folder can't be used.
     """
 
-    def __init__(self, settings: BoxSettings, folder: DataFolder, keys: Keys) -> None:
+    def __init__(self, settings: BoxSettings, folder: DataFolder, keys: TlsContexts) -> None:
         self._settings: Final = settings
         self._keys: Final = keys
         self._metrics: Final = Metrics()
         self._node: Final = ControlNode(settings, folder, keys.client)
-        self._admin: Final = Admin(
+        self._admin: Final = AdminServer(
             settings.admin_address, self._metrics, self._node.is_current, self._update_metrics
         )
         self._client: Final = ControlClient(_list_control_addresses(settings), context=keys.client)
@@ -131,7 +131,7 @@
         Raises:
             StorageError: the folder or an address can't be used.
         """
-        server = await serve_boxes(
+        server = await start_rpc_server(
             self._settings, ControlService(self._node).service(self._handlers()), self._keys
         )
         await self._start()
@@ -168,15 +168,15 @@
         await self._limits.stop()
         await self._membership.stop()
         await self._node.stop()
-        await close_server(server)
+        await stop_rpc_server(server)
         await self._admin.stop()
 
     def _update_metrics(self) -> None:
         replica = self._node.replica
-        self._metrics.version.set({}, self._node.state.settings.version)
+        self._metrics.settings_version.set({}, self._node.state.settings.version)
         evacuated = self._node.state.evacuations.list_for_entries().data_centres
-        self._metrics.evacuated.set({}, len(evacuated))
-        self._metrics.commit.set({}, replica.commit if replica else 0)
+        self._metrics.evacuated_data_centres.set({}, len(evacuated))
+        self._metrics.commit_index.set({}, replica.commit if replica else 0)
         self._metrics.is_leader.set({}, 1 if replica and replica.is_leader else 0)
 
 
@@ -186,7 +186,7 @@
 
 
 def _make_group(
-    settings: BoxSettings, node: ControlNode, client: ControlClient, keys: Keys
+    settings: BoxSettings, node: ControlNode, client: ControlClient, keys: TlsContexts
 ) -> GroupManager | None:
     founding: Founding | None = settings.founding
     return GroupManager(node, founding, client, keys.client) if founding is not None else None
--- a/packages/damsonlaned/src/damsonlaned/control/_registry.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_registry.py
@@ -49,7 +49,7 @@
     Restore,
 )
 from damsonlaned.http import HttpRequest, HttpResponse, Reply, WebListener
-from damsonlaned.logs import LineBound
+from damsonlaned.logs import LogRateLimiter
 from damsonlaned.tasks import start_task
 
 _LOG: Final = logging.getLogger(__name__)
@@ -95,7 +95,7 @@
         self._data_centres: Final = frozenset(data_centres)
         self._services: Final = KnownServices(dialect)
         self._warmups: Final = ColdNews()
-        self._invalid_call_log: Final = LineBound(INVALID_CALL_LOG_SECONDS)
+        self._invalid_call_log: Final = LogRateLimiter(INVALID_CALL_LOG_SECONDS)
         self._leader: Final = LeaderClient(node, group, client)
         self._dialect: Final = dialect
         self._port: Final = address.rpartition(":")[2]
--- a/packages/damsonlaned/src/damsonlaned/control/tests/boxes.py
+++ b/packages/damsonlaned/src/damsonlaned/control/tests/boxes.py
@@ -14,7 +14,7 @@
 from damsonlaned.control import ControlNode, ControlService, FollowService, GroupManager
 from damsonlaned.control._rate_limits import RateLimitService
 from damsonlaned.storage import DataFolder
-from damsonlaned.tests.addresses import find_addresses
+from damsonlaned.tests.addresses import find_free_addresses
 
 #: Seconds after which a condition that a test waits for counts as failed.
 TEST_TIMEOUT_SECONDS = 20.0
@@ -106,7 +106,7 @@
     async def asyncSetUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        self.addresses = find_addresses(6)
+        self.addresses = find_free_addresses(6)
         self.seeds = tuple(self.addresses[:3])
         self.boxes: dict[str, Box] = {}
         for number, address in enumerate(self.addresses):
--- a/packages/damsonlaned/src/damsonlaned/control/tests/test_process.py
+++ b/packages/damsonlaned/src/damsonlaned/control/tests/test_process.py
@@ -10,11 +10,11 @@
 
 from damsonlane.errors import StorageError
 from damsonlane.settings import BoxSettings, Founding
-from damsonlaned._process import Keys, SettingsWatch
+from damsonlaned._process import SettingsReloader, TlsContexts
 from damsonlaned.control import ControlNode, _process
 from damsonlaned.control._process import run_control
 from damsonlaned.storage import DataFolder, Journal, draw_identity, write_identity
-from damsonlaned.tests.addresses import find_address
+from damsonlaned.tests.addresses import find_free_address
 
 #: Seconds after which a condition that a test waits for counts as failed.
 TEST_TIMEOUT_SECONDS = 20.0
@@ -24,14 +24,14 @@
     async def asyncSetUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        own = find_address()
+        own = find_free_address()
         self.settings = BoxSettings(
             name="box",
             data_centre="dha",
             role="control",
             data_folder=folder.name,
             internal_address=own,
-            admin_address=find_address(),
+            admin_address=find_free_address(),
             control=(own,),
             election_seconds=0.2,
             founding=Founding(seeds=(own,), is_first_start=True, lost_boxes=0),
@@ -57,7 +57,7 @@
 
     async def run_box(self) -> None:
         with DataFolder(self.settings.data_folder) as folder:
-            await run_control(self.settings, folder, Keys(self.settings), None)
+            await run_control(self.settings, folder, TlsContexts(self.settings), None)
 
     async def stop_box(self, box: "asyncio.Task[None]") -> None:
         self.stop.set()
@@ -76,10 +76,10 @@
 
     async def test_a_replica_restarts_with_the_settings_read_last(self) -> None:
         probe = mock.Mock(side_effect=StorageError("full"))
-        newer = replace(self.settings, admin_address=find_address())
-        watches: list[SettingsWatch] = []
+        newer = replace(self.settings, admin_address=find_free_address())
+        watches: list[SettingsReloader] = []
 
-        def record(watch: SettingsWatch) -> Awaitable[bool]:
+        def record(watch: SettingsReloader) -> Awaitable[bool]:
             watches.append(watch)
             return self.stop.wait()
 
--- a/packages/damsonlaned/src/damsonlaned/control/tests/test_registry.py
+++ b/packages/damsonlaned/src/damsonlaned/control/tests/test_registry.py
@@ -29,7 +29,7 @@
 from damsonlaned.dialects import NativeDialect
 from damsonlaned.http import ConnectionPool, HttpRequest
 from damsonlaned.storage import DataFolder
-from damsonlaned.tests.addresses import find_address
+from damsonlaned.tests.addresses import find_free_address
 
 #: Seconds after which a call or a condition that a test waits for counts as failed.
 TEST_TIMEOUT_SECONDS = 20.0
@@ -139,7 +139,7 @@
     async def serve_other_replicas(self) -> Channel:
         """Serve the calls of other replicas and return a channel to them."""
         server = Server([RpcService(dict(self.registry.handlers()))], codec=DataclassCodec())
-        address = find_address()
+        address = find_free_address()
         host, _, port = address.rpartition(":")
         await server.start(host, int(port))
         channel = open_channel(address, None)
--- a/packages/damsonlaned/src/damsonlaned/entry/_caller_application.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_caller_application.py
@@ -229,7 +229,7 @@
         }
         with self._lock:
             self._metrics.requests.inc(labels)
-            self._metrics.seconds.observe({"pipeline": request.pipeline}, seconds)
+            self._metrics.request_seconds.observe({"pipeline": request.pipeline}, seconds)
         _LOG.info(
             "request",
             extra={
--- a/packages/damsonlaned/src/damsonlaned/entry/_node.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_node.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 from damsonlane.settings import BoxSettings
-from damsonlaned.admin import Admin
+from damsonlaned.admin import AdminServer
 from damsonlaned.entry._caller_application import CallerApplication
 from damsonlaned.entry._control_link import ControlLink
 from damsonlaned.entry._dispatcher import Dispatcher
@@ -16,7 +16,7 @@
 from damsonlaned.entry._request_runner import RequestRunner
 from damsonlaned.entry._settings_view import SettingsView
 from damsonlaned.metrics import Metrics
-from damsonlaned.servers import HttpServer
+from damsonlaned.wsgi_server import WsgiServer
 
 #: Seconds between two checks for requests in progress while stopping.
 DRAIN_POLL_SECONDS: Final = 0.05
@@ -50,10 +50,10 @@
         self._platform: Final = PlatformListWatcher(settings, self._view, draining)
         runner = RequestRunner(self._control, self._dispatcher)
         self._callers: Final = CallerApplication(settings, self._view, runner, self._metrics)
-        self._server: Final = HttpServer(
+        self._server: Final = WsgiServer(
             settings.caller_address, self._callers, settings.caller_threads
         )
-        self._admin: Final = Admin(
+        self._admin: Final = AdminServer(
             settings.admin_address, self._metrics, self._callers.is_ready, self._update_metrics
         )
         self.peers: Final = PeerService(self._view, draining)
@@ -76,7 +76,7 @@
         await asyncio.sleep(self._settings.grace_seconds)
         idle_polls = 0
         while idle_polls < IDLE_POLLS:
-            is_busy = self._callers.in_flight() > 0 or self._server.waiting() > 0
+            is_busy = self._callers.in_flight() > 0 or self._server.count_waiting() > 0
             idle_polls = 0 if is_busy else idle_polls + 1
             await asyncio.sleep(DRAIN_POLL_SECONDS)
         await asyncio.to_thread(self._server.stop)
@@ -87,4 +87,4 @@
 
     def _update_metrics(self) -> None:
         self._metrics.in_flight.set({}, self._callers.in_flight())
-        self._metrics.version.set({}, self._view.current.version)
+        self._metrics.settings_version.set({}, self._view.current.version)
--- a/packages/damsonlaned/src/damsonlaned/entry/_process.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_process.py
@@ -5,10 +5,10 @@
 
 from damsonlane.settings import BoxSettings
 from damsonlaned._process import (
-    Keys,
-    SettingsWatch,
-    close_server,
-    serve_boxes,
+    SettingsReloader,
+    TlsContexts,
+    start_rpc_server,
+    stop_rpc_server,
     wait_for_stop,
 )
 from damsonlaned.entry._node import EntryNode
@@ -16,13 +16,13 @@
 _LOG: Final = logging.getLogger(__name__)
 
 
-async def run_entry(settings: BoxSettings, keys: Keys) -> None:
+async def run_entry(settings: BoxSettings, keys: TlsContexts) -> None:
     """Run the entry until the process is asked to stop."""
     node = EntryNode(settings, keys.client)
-    server = await serve_boxes(settings, node.peers.service(), keys)
+    server = await start_rpc_server(settings, node.peers.service(), keys)
     await node.start()
     _LOG.info("started")
-    await wait_for_stop(SettingsWatch(settings, None, lambda newer: None))
+    await wait_for_stop(SettingsReloader(settings, None, lambda newer: None))
     await node.stop()
-    await close_server(server)
+    await stop_rpc_server(server)
     _LOG.info("stopped")
--- a/packages/damsonlaned/src/damsonlaned/gateway/_caller_service.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_caller_service.py
@@ -139,7 +139,7 @@
             labels = {"route": call.route.name, "outcome": handler.outcome}
             dependencies.metrics.requests.inc(labels)
             seconds = asyncio.get_running_loop().time() - call.arrived_at
-            dependencies.metrics.seconds.observe({"route": call.route.name}, seconds)
+            dependencies.metrics.request_seconds.observe({"route": call.route.name}, seconds)
 
     def _read(self, http: HttpRequest) -> CallerRequest:
         try:
--- a/packages/damsonlaned/src/damsonlaned/gateway/_node.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_node.py
@@ -13,7 +13,7 @@
 from damsonlane.ledger import Holder
 from damsonlane.settings import BoxSettings, Gateway
 from damsonlane_rpc import ControlClient
-from damsonlaned.admin import Admin
+from damsonlaned.admin import AdminServer
 from damsonlaned.dialects import DIALECTS
 from damsonlaned.gateway._attempts import Attempts
 from damsonlaned.gateway._caller_service import CallerService, HandlerDependencies
@@ -117,7 +117,7 @@
             self._serve_readiness,
             render_refusal=self._caller_service.render_bad_bytes,
         )
-        self._admin: Final = Admin(
+        self._admin: Final = AdminServer(
             settings.admin_address, self._metrics, self.is_ready, self._refresh
         )
         self._is_stopping = False
@@ -186,11 +186,11 @@
 
     def _refresh(self) -> None:
         self._metrics.in_flight.set({}, self._caller_service.in_flight())
-        self._metrics.version.set({}, self._view.version())
-        self._metrics.evacuated.set({}, len(self._view.evacuated))
-        self._metrics.held.set({}, len(self._view.quarantine.newest.held))
+        self._metrics.settings_version.set({}, self._view.version())
+        self._metrics.evacuated_data_centres.set({}, len(self._view.evacuated))
+        self._metrics.quarantined.set({}, len(self._view.quarantine.newest.held))
         backing_off = self._view.notices.list_backing_off()
         listed = [incarnation for incarnation in backing_off if self._view.is_listed(incarnation)]
         self._metrics.backing_off.set({}, len(listed))
-        self._metrics.limited.set({}, len(self._view.limits.list_words()))
+        self._metrics.rate_limited.set({}, len(self._view.limits.list_words()))
         self._owners.count_waiting()
--- a/packages/damsonlaned/src/damsonlaned/gateway/_process.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_process.py
@@ -6,11 +6,11 @@
 from damsonlane.settings import BoxSettings, Gateway
 from damsonlane_rpc import RpcService
 from damsonlaned._process import (
-    Keys,
     Reload,
-    SettingsWatch,
-    close_server,
-    serve_boxes,
+    SettingsReloader,
+    TlsContexts,
+    start_rpc_server,
+    stop_rpc_server,
     wait_for_stop,
 )
 from damsonlaned.gateway._node import GatewayNode
@@ -19,16 +19,16 @@
 
 
 async def run_gateway(
-    settings: BoxSettings, gateway: Gateway, keys: Keys, reload: Reload | None
+    settings: BoxSettings, gateway: Gateway, keys: TlsContexts, reload: Reload | None
 ) -> None:
     """Run the entry until the process is asked to stop."""
     node = GatewayNode(settings, gateway, keys.client)
 
-    watch = SettingsWatch(settings, reload, lambda newer: node.replace_seeds(newer.control))
-    server = await serve_boxes(settings, RpcService(dict(node.handlers())), keys)
+    watch = SettingsReloader(settings, reload, lambda newer: node.replace_seeds(newer.control))
+    server = await start_rpc_server(settings, RpcService(dict(node.handlers())), keys)
     await node.start()
     _LOG.info("started")
     await wait_for_stop(watch)
     await node.stop()
-    await close_server(server)
+    await stop_rpc_server(server)
     _LOG.info("stopped")
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/fleet.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/fleet.py
@@ -9,7 +9,7 @@
 from damsonlaned.gateway._pool_service import PoolService
 from damsonlaned.gateway.tests.harness import Entry
 from damsonlaned.gateway.tests.test_links import make_record, serve
-from damsonlaned.tests.addresses import find_addresses
+from damsonlaned.tests.addresses import find_free_addresses
 
 
 class Fleet:
@@ -21,7 +21,7 @@
     """
 
     def __init__(self, count: int, document: RoutingDocument) -> None:
-        addresses = find_addresses(count)
+        addresses = find_free_addresses(count)
         self.entries = [Entry(document, address=address) for address in addresses]
 
     async def start(
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_links.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_links.py
@@ -40,7 +40,7 @@
     hang,
     make_pieces,
 )
-from damsonlaned.tests.addresses import find_address
+from damsonlaned.tests.addresses import find_free_address
 
 
 def pack_document(version: int) -> PackedDocument:
@@ -70,7 +70,7 @@
     """A control replica with a scripted document version and state age."""
 
     def __init__(self) -> None:
-        self.address = find_address()
+        self.address = find_free_address()
         self.version = 0
         self.state_age: float | None = 0.0
         self.is_silent = False
@@ -204,7 +204,7 @@
             await entry.start(record, desk_record)
             self.addAsyncCleanup(entry.stop)
             self.addAsyncCleanup(entry.pools.stop)
-        self.address = find_address()
+        self.address = find_free_address()
 
     def order(self, count: int) -> "list[asyncio.Future[object]]":
         orders = [replace(ORDER, piece=piece) for piece in range(count)]
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_placement.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_placement.py
@@ -17,7 +17,7 @@
 from damsonlaned.gateway._pool_service import PoolService
 from damsonlaned.gateway.tests.harness import DOCUMENT, PATIENCE, Entry
 from damsonlaned.gateway.tests.test_links import make_record, serve, wait
-from damsonlaned.tests.addresses import find_address
+from damsonlaned.tests.addresses import find_free_address
 
 ENGINES = RouteService(
     name="engines", most_connections=20, engine=EngineTraits(slots=4, cache_tokens=100_000)
@@ -51,7 +51,7 @@
             await entry.start(make_engine("one"), make_engine("three", "leaving"))
             self.addAsyncCleanup(entry.stop)
             self.addAsyncCleanup(entry.pools.stop)
-        self.address = find_address()
+        self.address = find_free_address()
         self.placers = PromptPlacers(self.owner.view)
         self.client = PlacementClient(
             PromptPlacers(self.asker.view), self.asker.pools, "127.0.0.1:9"
--- a/packages/damsonlaned/src/damsonlaned/logs.py
+++ b/packages/damsonlaned/src/damsonlaned/logs.py
@@ -70,7 +70,7 @@
         logging.getLogger(library).setLevel(logging.ERROR)
 
 
-class LineBound:
+class LogRateLimiter:
     """Limits the rate of a log line, and counts the lines that are suppressed.
 
     Args:
--- a/packages/damsonlaned/src/damsonlaned/metrics.py
+++ b/packages/damsonlaned/src/damsonlaned/metrics.py
@@ -19,7 +19,7 @@
         self.requests: Final = Counter(
             "damsonlane_requests_total", "Completed requests.", registry=self.registry
         )
-        self.seconds: Final = Histogram(
+        self.request_seconds: Final = Histogram(
             "damsonlane_request_seconds",
             "Time from arrival to completion, in seconds.",
             buckets=_TIME_BUCKETS,
@@ -31,17 +31,17 @@
         self.in_flight: Final = Gauge(
             "damsonlane_in_flight", "Requests that the entry is handling.", registry=self.registry
         )
-        self.version: Final = Gauge(
+        self.settings_version: Final = Gauge(
             "damsonlane_settings_version",
             "Version of the settings in force.",
             registry=self.registry,
         )
-        self.evacuated: Final = Gauge(
+        self.evacuated_data_centres: Final = Gauge(
             "damsonlane_evacuated_data_centres",
             "Evacuated data centres, whose targets get no new requests.",
             registry=self.registry,
         )
-        self.held: Final = Gauge(
+        self.quarantined: Final = Gauge(
             "damsonlane_held_requests",
             "Quarantined requests, which targets do not get since targets exited under them.",
             registry=self.registry,
@@ -51,12 +51,12 @@
             "Targets that requested back-off from this box, or announced that they are draining.",
             registry=self.registry,
         )
-        self.limited: Final = Gauge(
+        self.rate_limited: Final = Gauge(
             "damsonlane_limited_targets",
             "Targets that announced a rate limit for the requests of all boxes.",
             registry=self.registry,
         )
-        self.commit: Final = Gauge(
+        self.commit_index: Final = Gauge(
             "damsonlane_commit_index",
             "Index of the last committed log entry.",
             registry=self.registry,
--- a/packages/damsonlaned/src/damsonlaned/tests/addresses.py
+++ b/packages/damsonlaned/src/damsonlaned/tests/addresses.py
@@ -3,12 +3,12 @@
 import socket
 
 
-def find_address() -> str:
+def find_free_address() -> str:
     """Return an address that nothing listens on."""
-    return find_addresses(1)[0]
+    return find_free_addresses(1)[0]
 
 
-def find_addresses(count: int) -> list[str]:
+def find_free_addresses(count: int) -> list[str]:
     """Return several addresses that nothing listens on, sorted."""
     sockets = [socket.socket() for _ in range(count)]
     for item in sockets:
--- a/packages/damsonlaned/src/damsonlaned/tests/test_process.py
+++ b/packages/damsonlaned/src/damsonlaned/tests/test_process.py
@@ -7,7 +7,7 @@
 
 from damsonlane.errors import SettingsError
 from damsonlane.settings import BoxSettings
-from damsonlaned._process import SettingsWatch
+from damsonlaned._process import SettingsReloader
 from damsonlaned.logs import _BUFFER_BYTES, NonBlockingHandler
 
 SETTINGS = BoxSettings(
@@ -26,7 +26,7 @@
         newer = replace(SETTINGS, control=("127.0.0.1:4",))
         reads = [SETTINGS, newer, newer]
         reported: list[BoxSettings] = []
-        reloader = SettingsWatch(SETTINGS, lambda: reads.pop(0), reported.append)
+        reloader = SettingsReloader(SETTINGS, lambda: reads.pop(0), reported.append)
         for _ in range(3):
             reloader.reload_if_changed()
         self.assertEqual(reported, [newer])
@@ -37,7 +37,7 @@
 
         reported: list[BoxSettings] = []
         with self.assertLogs("damsonlaned._process", "ERROR"):
-            SettingsWatch(SETTINGS, fail, reported.append).reload_if_changed()
+            SettingsReloader(SETTINGS, fail, reported.append).reload_if_changed()
         self.assertEqual(reported, [])
 
 
--- a/packages/damsonlaned/src/damsonlaned/tests/test_servers.py
+++ b/packages/damsonlaned/src/damsonlaned/tests/test_servers.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from damsonlaned.servers import HttpServer
+from damsonlaned.wsgi_server import WsgiServer
 
 #: Time-out of a connection, in seconds.
 TIMEOUT_SECONDS = 20.0
@@ -33,7 +33,7 @@
 
 class RawBytesTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.server = HttpServer("127.0.0.1:0", echo, threads=2)
+        self.server = WsgiServer("127.0.0.1:0", echo, threads=2)
         self.server.start()
         self.addCleanup(self.server.stop)
 
--- a/packages/damsonlaned/src/damsonlaned/servers.py
+++ b/packages/damsonlaned/src/damsonlaned/wsgi_server.py
@@ -106,7 +106,7 @@
         """Suppress cheroot's messages, which are about broken connections of callers."""
 
 
-class HttpServer:
+class WsgiServer:
     """A WSGI server in threads of its own.
 
     Args:
@@ -142,7 +142,7 @@
         self._thread = threading.Thread(target=self._server.serve, daemon=True)
         self._thread.start()
 
-    def waiting(self) -> int:
+    def count_waiting(self) -> int:
         """Return the number of requests that wait for a thread."""
         return int(self._server.requests.qsize)
 
