--- a/packages/damsonlaned/src/damsonlaned/entry/_dispatcher.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_dispatcher.py
@@ -19,7 +19,13 @@
 from damsonlaned.entry._target_backoff import TargetBackoff
 from damsonlaned.entry._thread_safe_quarantine import ThreadSafeQuarantine
 from damsonlaned.quarantine import LostTarget
-from damsonlaned.targets import KINDS, Connections, TargetCall, TargetNotice, TargetReply
+from damsonlaned.targets import (
+    TARGET_PROTOCOLS,
+    Connections,
+    TargetAnnouncement,
+    TargetCall,
+    TargetReply,
+)
 
 
 class Dispatcher:
@@ -108,16 +114,18 @@
             key=send.key,
             text=send.text,
             model=service.model,
-            due_at=began_at + send.seconds,
+            deadline_at=began_at + send.seconds,
         )
         reply: TargetReply | None = None
         try:
             on_notice = partial(self._record_notice, send.stage.service, choice)
-            reply = yield from KINDS[service.kind].call(self._connections, call, on_notice)
+            reply = yield from TARGET_PROTOCOLS[service.kind].call(
+                self._connections, call, on_notice
+            )
         finally:
             # A caller that disconnects closes the generator; the target did not fail then.
             self._finish(send, choice, pipeline, reply, began_at)
-        if reply.is_broken:
+        if reply.is_interrupted:
             run = BrokenRun(fingerprint=fingerprint, seconds=read_clock() - began_at)
             self._quarantine.report_interrupted(_make_lost_target(send, choice), run)
         result = reply.result
@@ -210,9 +218,9 @@
             return backoff_seconds
         return max(backoff_seconds, self._limits.find_wait_seconds(rate_limited.values()))
 
-    def _record_notice(self, service: str, choice: Choice, notice: TargetNotice) -> None:
+    def _record_notice(self, service: str, choice: Choice, notice: TargetAnnouncement) -> None:
         """Record what the head of a response announces of its target."""
-        if notice.is_leaving:
+        if notice.is_draining:
             self._draining.record(service, choice.target)
         if notice.backoff_seconds > 0:
             seconds = notice.backoff_seconds
@@ -223,7 +231,7 @@
             choice.target,
             choice.address,
             notice.rate_limit,
-            may_end=notice.has_taken,
+            may_end=notice.was_accepted,
         )
 
     def _apply_settings(self, settings: SettingsInForce) -> None:
@@ -244,7 +252,7 @@
     ) -> None:
         """Record the end of an attempt; it was abandoned if there is no reply."""
         now = read_clock()
-        report: LoadReport | None = reply.report if reply else None
+        report: LoadReport | None = reply.load_report if reply else None
         with self._lock:
             table = self._tables[send.stage.service]
             work = Work(
--- a/packages/damsonlaned/src/damsonlaned/entry/tests/test_dispatcher.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/tests/test_dispatcher.py
@@ -11,7 +11,14 @@
 from damsonlaned.entry._dispatcher import Dispatcher
 from damsonlaned.entry._draining_targets import DrainingTargets
 from damsonlaned.entry._settings_view import SettingsInForce
-from damsonlaned.targets import KINDS, Connections, Pool, TargetCall, TargetNotice, TargetReply
+from damsonlaned.targets import (
+    TARGET_PROTOCOLS,
+    Connections,
+    PoolProtocol,
+    TargetAnnouncement,
+    TargetCall,
+    TargetReply,
+)
 
 _STAGE = StagePlan(name="encode", service="encode", attempts=1, routing="paced")
 
@@ -51,7 +58,7 @@
         """It never has a request in flight, so by that alone it would always be chosen."""
         dispatcher = Dispatcher("one", DrainingTargets(), mock.Mock())
         settings = _settings(1, "refusing", "working")
-        with mock.patch.dict(KINDS, {"pool": _RejectingPool()}):
+        with mock.patch.dict(TARGET_PROTOCOLS, {"pool": _RejectingPool()}):
             chosen = [self._send(dispatcher, settings) for _ in range(40)]
         self.assertLess(chosen.count("refusing"), 6)
 
@@ -62,14 +69,14 @@
         return str(stopped.exception.value[0])
 
 
-class _RejectingPool(Pool):
+class _RejectingPool(PoolProtocol):
     """Rejects at the first port and answers at any other."""
 
     def call(
         self,
         connections: Connections,
         call: TargetCall,
-        on_notice: Callable[[TargetNotice], None] = lambda _: None,
+        on_notice: Callable[[TargetAnnouncement], None] = lambda _: None,
     ) -> Generator[str, None, TargetReply]:
         yield from ()
         if call.address.endswith(":1"):
--- a/packages/damsonlaned/src/damsonlaned/targets/__init__.py
+++ b/packages/damsonlaned/src/damsonlaned/targets/__init__.py
@@ -1,19 +1,25 @@
 """Protocols of targets, registered by the kind of service that settings name."""
 
-from damsonlaned.targets._calls import KINDS, TargetCall, TargetKind, TargetReply, target_kind
-from damsonlaned.targets._connections import Connections, TargetNotice
-from damsonlaned.targets._engines import Engine
-from damsonlaned.targets._pools import Plain, Pool
+from damsonlaned.targets._calls import (
+    TARGET_PROTOCOLS,
+    TargetCall,
+    TargetProtocol,
+    TargetReply,
+    register_protocol,
+)
+from damsonlaned.targets._connections import Connections, TargetAnnouncement
+from damsonlaned.targets._engines import EngineProtocol
+from damsonlaned.targets._pools import PlainProtocol, PoolProtocol
 
 __all__ = [
-    "KINDS",
+    "TARGET_PROTOCOLS",
     "Connections",
-    "Engine",
-    "Plain",
-    "Pool",
+    "EngineProtocol",
+    "PlainProtocol",
+    "PoolProtocol",
     "TargetCall",
-    "TargetKind",
-    "TargetNotice",
+    "TargetProtocol",
+    "TargetAnnouncement",
     "TargetReply",
-    "target_kind",
+    "register_protocol",
 ]
--- a/packages/damsonlaned/src/damsonlaned/targets/_calls.py
+++ b/packages/damsonlaned/src/damsonlaned/targets/_calls.py
@@ -15,7 +15,7 @@
     UNSENT_ERRORS,
     Connections,
     LateError,
-    TargetNotice,
+    TargetAnnouncement,
     read_load,
     read_notice,
 )
@@ -34,7 +34,7 @@
     #: Name of the model; empty unless the target is an engine.
     model: str
     #: Deadline of the attempt, by the monotonic clock, in seconds.
-    due_at: float
+    deadline_at: float
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -44,12 +44,12 @@
     #: The result.
     result: AttemptResult
     #: The load that the target reported, or None.
-    report: LoadReport | None = None
+    load_report: LoadReport | None = None
     #: Whether the connection failed during the attempt; the target may have exited.
-    is_broken: bool = False
+    is_interrupted: bool = False
 
 
-class TargetKind(ABC):
+class TargetProtocol(ABC):
     """A protocol of targets; subclasses make request bodies and parse successful responses."""
 
     #: Path of the requests.
@@ -59,7 +59,7 @@
         self,
         connections: Connections,
         call: TargetCall,
-        on_notice: Callable[[TargetNotice], None] = lambda _: None,
+        on_notice: Callable[[TargetAnnouncement], None] = lambda _: None,
     ) -> Generator[str, None, TargetReply]:
         """Send an attempt, yield its output as it arrives, and return the outcome.
 
@@ -76,7 +76,9 @@
             The outcome, also of an attempt that failed.
         """
         try:
-            response = connections.post(call.address, self.path, self.make_body(call), call.due_at)
+            response = connections.post(
+                call.address, self.path, self.make_body(call), call.deadline_at
+            )
         except UNSENT_ERRORS as error:
             return _make_failure("unsent", error)
         except SENT_ERRORS as error:
@@ -111,8 +113,8 @@
             result = yield from self.read_result(response, call)
             response.release_conn()
             is_broken = result.outcome == "failed" and result.answers is None
-            return TargetReply(result=result, report=report, is_broken=is_broken)
-        is_leaving = read_notice(response).is_leaving
+            return TargetReply(result=result, load_report=report, is_interrupted=is_broken)
+        is_leaving = read_notice(response).is_draining
         response.drain_conn()
         response.release_conn()
         is_rejected = response.status in REJECTING_STATUSES
@@ -122,22 +124,22 @@
             is_leaving=is_leaving,
             fault=f"the target answered with status {response.status}",
         )
-        return TargetReply(result=result, report=report)
+        return TargetReply(result=result, load_report=report)
 
 
 #: All protocols by the kind that settings name.
-KINDS: Final[dict[str, TargetKind]] = {}
+TARGET_PROTOCOLS: Final[dict[str, TargetProtocol]] = {}
 
 
-def target_kind(name: str) -> Callable[[type[TargetKind]], type[TargetKind]]:
+def register_protocol(name: str) -> Callable[[type[TargetProtocol]], type[TargetProtocol]]:
     """Register a protocol under the kind that settings name.
 
     Args:
         name: the kind of service.
     """
 
-    def register(kind: type[TargetKind]) -> type[TargetKind]:
-        KINDS[name] = kind()
+    def register(kind: type[TargetProtocol]) -> type[TargetProtocol]:
+        TARGET_PROTOCOLS[name] = kind()
         return kind
 
     return register
@@ -149,5 +151,5 @@
         result = AttemptResult(answers=None, outcome="unsent", fault=f"not reached ({error_name})")
     else:
         result = AttemptResult(answers=None, outcome="failed", fault=f"broke off ({error_name})")
-        return TargetReply(result=result, is_broken=not isinstance(error, LateError))
+        return TargetReply(result=result, is_interrupted=not isinstance(error, LateError))
     return TargetReply(result=result)
--- a/packages/damsonlaned/src/damsonlaned/targets/_connections.py
+++ b/packages/damsonlaned/src/damsonlaned/targets/_connections.py
@@ -40,17 +40,17 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class TargetNotice:
+class TargetAnnouncement:
     """What a target announces in the headers of a response."""
 
     #: Seconds for which the target asks this box to back off.
     backoff_seconds: float = 0.0
     #: Whether the target is draining.
-    is_leaving: bool = False
+    is_draining: bool = False
     #: Rate limit in requests a second from all boxes together; None without a limit.
     rate_limit: float | None = None
     #: Whether the target accepted the request of this response.
-    has_taken: bool = True
+    was_accepted: bool = True
 
 
 class LateError(OSError):
@@ -133,18 +133,18 @@
         yield chunk
 
 
-def read_notice(response: urllib3.BaseHTTPResponse) -> TargetNotice:
+def read_notice(response: urllib3.BaseHTTPResponse) -> TargetAnnouncement:
     """Return what a target announces in the headers of a response, besides its load."""
     headers = response.headers
     seconds = 0.0
     if response.status == OVERLOADED_STATUS:
         seconds = read_retry_after(headers.get("Retry-After"), headers.get("Date"))
     is_leaving = headers.get(LEAVING_HEADER, "").strip() not in ("", "0")
-    return TargetNotice(
+    return TargetAnnouncement(
         backoff_seconds=seconds,
-        is_leaving=is_leaving,
+        is_draining=is_leaving,
         rate_limit=read_rate_limit(headers.getlist(RATE_LIMIT_HEADER)),
-        has_taken=response.status not in REJECTING_STATUSES,
+        was_accepted=response.status not in REJECTING_STATUSES,
     )
 
 
--- a/packages/damsonlaned/src/damsonlaned/targets/_engines.py
+++ b/packages/damsonlaned/src/damsonlaned/targets/_engines.py
@@ -8,7 +8,7 @@
 import urllib3
 
 from damsonlane.requests import AttemptKey, AttemptResult
-from damsonlaned.targets._calls import TargetCall, TargetKind, target_kind
+from damsonlaned.targets._calls import TargetCall, TargetProtocol, register_protocol
 from damsonlaned.targets._connections import read_chunks
 from damsonlaned.targets._pools import read_attempt_key
 
@@ -17,8 +17,8 @@
 
 
 @final
-@target_kind("engine")
-class Engine(TargetKind):
+@register_protocol("engine")
+class EngineProtocol(TargetProtocol):
     """The completions interface of model engines."""
 
     path = "/v1/completions"
@@ -44,10 +44,10 @@
         """Yield the tokens; the stream is complete only if the last event is `_DONE`."""
         token_texts: list[str] = []
         wanted = call.key
-        for data in _read_events(response, call.due_at):
+        for data in _read_events(response, call.deadline_at):
             if data == _DONE:
                 # Read to the end, so that the connection can be reused.
-                for _ in read_chunks(response, call.due_at):
+                for _ in read_chunks(response, call.deadline_at):
                     pass
                 return AttemptResult(
                     # Without any event, nothing confirms which attempt the stream answers.
--- a/packages/damsonlaned/src/damsonlaned/targets/_pools.py
+++ b/packages/damsonlaned/src/damsonlaned/targets/_pools.py
@@ -7,12 +7,12 @@
 import urllib3
 
 from damsonlane.requests import AttemptKey, AttemptResult
-from damsonlaned.targets._calls import TargetCall, TargetKind, target_kind
+from damsonlaned.targets._calls import TargetCall, TargetProtocol, register_protocol
 from damsonlaned.targets._connections import read_chunks
 
 
-@target_kind("pool")
-class Pool(TargetKind):
+@register_protocol("pool")
+class PoolProtocol(TargetProtocol):
     """The protocol of the workers of a stage pool."""
 
     path = "/v1/run"
@@ -31,7 +31,7 @@
         self, response: urllib3.BaseHTTPResponse, call: TargetCall
     ) -> Generator[str, None, AttemptResult]:
         """Read the object; a truncated one is invalid JSON and fails the attempt."""
-        body = json.loads(b"".join(read_chunks(response, call.due_at)))
+        body = json.loads(b"".join(read_chunks(response, call.deadline_at)))
         output = body["output"]
         if not isinstance(output, str):
             raise TypeError("output is not text")
@@ -40,8 +40,8 @@
 
 
 @final
-@target_kind("plain")
-class Plain(Pool):
+@register_protocol("plain")
+class PlainProtocol(PoolProtocol):
     """The protocol of plain services, some of whose calls must not be retried."""
 
 
