--- /dev/null
+++ b/packages/damsonlane/src/damsonlane/placement/__init__.py
@@ -0,0 +1,19 @@
+"""Placement: which engine prefills a prompt, decided by one owner for the whole fleet."""
+
+from damsonlane.placement._engine_table import EngineTable
+from damsonlane.placement._prompts import (
+    InputLocation,
+    Placement,
+    PlacementRequest,
+    PromptOutcome,
+    PromptSegment,
+)
+
+__all__ = [
+    "EngineTable",
+    "InputLocation",
+    "Placement",
+    "PlacementRequest",
+    "PromptSegment",
+    "PromptOutcome",
+]
--- a/packages/damsonlane/src/damsonlane/placing/_engine.py
+++ b/packages/damsonlane/src/damsonlane/placement/_engine.py
@@ -2,7 +2,7 @@
 
 from typing import Final
 
-from damsonlane.placing._prefix_cache import PrefixCache
+from damsonlane.placement._prefix_cache import PrefixCache
 
 #: Ratio of measured to expected time from which an engine counts as slow.
 SLOW_RATIO: Final = 2.0
@@ -24,7 +24,7 @@
     def __init__(self, cache_tokens: int, data_centre: str, start: int = 0) -> None:
         self.start: Final = start
         self.data_centre: Final = data_centre
-        self.kept: Final = PrefixCache(cache_tokens)
+        self.cache: Final = PrefixCache(cache_tokens)
         #: When it will have prefilled all prompts placed at it.
         self.prefilled_at = 0.0
         #: When its link will have finished all planned transfers.
--- a/packages/damsonlane/src/damsonlane/placing/_engine_table.py
+++ b/packages/damsonlane/src/damsonlane/placement/_engine_table.py
@@ -13,10 +13,10 @@
 from dataclasses import dataclass
 from typing import Final
 
-from damsonlane.placing._engine import Engine
-from damsonlane.placing._prefill_pace import BASE_SECONDS, PrefillPace
-from damsonlane.placing._prompts import Placement, PromptOrder, PromptRead
-from damsonlane.placing._transfers import NO_TRANSFER, Transfer, plan_transfers
+from damsonlane.placement._engine import Engine
+from damsonlane.placement._prefill_pace import BASE_SECONDS, PrefillPace
+from damsonlane.placement._prompts import Placement, PlacementRequest, PromptOutcome
+from damsonlane.placement._transfers import NO_TRANSFER, Transfer, plan_transfers
 from damsonlane.routing import Place, rank_target
 
 #: Extra cost of prefilling a shared segment again, as a multiple of the time it takes: it costs
@@ -67,7 +67,7 @@
     cost: float
 
 
-class EngineBook:
+class EngineTable:
     """Engines of one service with the prompts that are placed at each.
 
     Args:
@@ -96,7 +96,7 @@
     def place(
         self,
         sender: str,
-        order: PromptOrder,
+        order: PlacementRequest,
         preferred: Collection[str],
         now: float,
         excluded: Collection[str] = (),
@@ -128,13 +128,13 @@
     def _list_candidates(
         self,
         usable: Mapping[str, Engine],
-        order: PromptOrder,
+        order: PlacementRequest,
         preferred: Collection[str],
         rate_limited: Collection[str],
         now: float,
     ) -> Sequence[_Candidate]:
         """Return the usable engines with the cost of a prompt at each."""
-        cached = {name: engine.kept.count_kept(order.shared) for name, engine in usable.items()}
+        cached = {name: engine.cache.count_cached(order.shared) for name, engine in usable.items()}
         transfers = self._plan_transfers(usable, order, cached, now)
         home = self._find_home(order, cached, preferred)
         candidates: list[_Candidate] = []
@@ -155,7 +155,7 @@
         return candidates
 
     def _find_home(
-        self, order: PromptOrder, cached: Mapping[str, int], preferred: Collection[str]
+        self, order: PlacementRequest, cached: Mapping[str, int], preferred: Collection[str]
     ) -> str:
         """Return the engine that should prefill shared segments not cached anywhere; or empty.
 
@@ -165,7 +165,7 @@
             return ""
         return min(cached, key=lambda name: (name not in preferred, _rank(name, order)))
 
-    def note_read(self, sender: str, outcome: PromptRead, now: float) -> None:
+    def record_outcome(self, sender: str, outcome: PromptOutcome, now: float) -> None:
         """Record the outcome of a placed prompt."""
         pending = self._pending.pop((sender, outcome.number), None)
         if pending is None or self._engines.get(pending.name) is not pending.engine:
@@ -173,13 +173,13 @@
         engine = pending.engine
         if outcome.seconds is None:
             engine.ejected_until = now + EJECTION_SECONDS
-            engine.kept.clear()
+            engine.cache.clear()
             return
         self._pace.record(pending.tokens, outcome.seconds)
         engine.record_ratio(outcome.seconds / pending.seconds, now)
 
     def _find_usable(
-        self, order: PromptOrder, excluded: Collection[str], now: float
+        self, order: PlacementRequest, excluded: Collection[str], now: float
     ) -> Mapping[str, Engine]:
         """Return the engines that may get a prompt; ejected ones only if no other is left."""
         unusable = {*order.avoid, *excluded}
@@ -189,7 +189,7 @@
     def _plan_transfers(
         self,
         usable: Mapping[str, Engine],
-        order: PromptOrder,
+        order: PlacementRequest,
         cached: Mapping[str, int],
         now: float,
     ) -> Mapping[str, Transfer]:
@@ -199,7 +199,7 @@
         return plan_transfers(usable, order, cached, self._transfer_pace, now)
 
     def _estimate_cost(
-        self, engine: Engine, order: PromptOrder, uncached: int, transfer: Transfer, now: float
+        self, engine: Engine, order: PlacementRequest, uncached: int, transfer: Transfer, now: float
     ) -> float:
         """Return the cost of a prompt at an engine that prefills some of its tokens, in seconds."""
         wait = max(engine.wait_seconds(now), transfer.done_at - now)
@@ -216,14 +216,14 @@
         )
 
     def _record_placement(
-        self, sender: str, order: PromptOrder, chosen: _Candidate, now: float
+        self, sender: str, order: PlacementRequest, chosen: _Candidate, now: float
     ) -> None:
         engine = self._engines[chosen.name]
         transfer = chosen.transfer
         wait = max(engine.wait_seconds(now), transfer.done_at - now)
         prefill = self._pace.seconds(chosen.uncached)
         engine.prefilled_at = now + engine.wait_seconds(now) + prefill
-        engine.kept.add(order.shared, now + wait + prefill)
+        engine.cache.add(order.shared, now + wait + prefill)
         if transfer.source:
             engine.link_free_at = transfer.done_at
             self._engines[transfer.source].link_free_at = transfer.done_at
@@ -238,12 +238,12 @@
             del self._pending[next(iter(self._pending))]
 
 
-def _count_remote_bytes(engine: Engine, order: PromptOrder) -> int:
+def _count_remote_bytes(engine: Engine, order: PlacementRequest) -> int:
     """Return the bytes of a prompt's inputs that are stored in other data centres."""
     return sum(place.size for place in order.inputs if place.data_centre != engine.data_centre)
 
 
-def _rank(name: str, order: PromptOrder) -> bytes:
+def _rank(name: str, order: PlacementRequest) -> bytes:
     """Return the rank of an engine for a prompt by rendezvous hashing; the least wins."""
     return _rank_by_prefix(name, order.shared[-1].identity if order.shared else "")
 
--- a/packages/damsonlane/src/damsonlane/placing/_prefix_cache.py
+++ b/packages/damsonlane/src/damsonlane/placement/_prefix_cache.py
@@ -4,7 +4,7 @@
 from collections.abc import Sequence
 from typing import Final
 
-from damsonlane.placing._prompts import PromptPart
+from damsonlane.placement._prompts import PromptSegment
 
 #: Share of an engine's memory that is assumed to hold cached segments; the rest is used by the
 #: prompts and answers of running requests.
@@ -24,7 +24,7 @@
         self._prefilled_at: dict[str, float] = {}
         self._sum = 0
 
-    def count_kept(self, segments: Sequence[PromptPart]) -> int:
+    def count_cached(self, segments: Sequence[PromptSegment]) -> int:
         """Return the tokens of the leading segments that are cached or being prefilled."""
         cached = 0
         for segment in segments:
@@ -33,7 +33,7 @@
             cached += segment.tokens
         return cached
 
-    def count_prefilled(self, segments: Sequence[PromptPart], now: float) -> int:
+    def count_prefilled(self, segments: Sequence[PromptSegment], now: float) -> int:
         """Return the tokens of the leading segments that have been prefilled by now."""
         prefilled = 0
         for segment in segments:
@@ -42,7 +42,7 @@
             prefilled += segment.tokens
         return prefilled
 
-    def add(self, segments: Sequence[PromptPart], prefilled_at: float = 0.0) -> None:
+    def add(self, segments: Sequence[PromptSegment], prefilled_at: float = 0.0) -> None:
         """Add the segments of a prompt that the engine prefills, evicting others if necessary.
 
         Args:
--- a/packages/damsonlane/src/damsonlane/placing/_prompts.py
+++ b/packages/damsonlane/src/damsonlane/placement/_prompts.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class PromptPart:
+class PromptSegment:
     """A segment of a prompt that other requests share."""
 
     #: Identity of the segment.
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class InputPlace:
+class InputLocation:
     """Location of stage results that the engine must fetch before it prefills the prompt."""
 
     #: Data centre in which they are stored.
@@ -24,13 +24,13 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class PromptOrder:
+class PlacementRequest:
     """A request to place a prompt at an engine."""
 
     #: Number chosen by the sender; the placement repeats it.
     number: int
     #: Leading segments that other requests share, in order.
-    shared: tuple[PromptPart, ...]
+    shared: tuple[PromptSegment, ...]
     #: Length of the whole prompt, in tokens.
     tokens: int
     #: Seconds left until its first event misses the latency objective; may be negative.
@@ -38,7 +38,7 @@
     #: Names of engines that the sender can't use.
     avoid: tuple[str, ...] = ()
     #: Locations of its inputs.
-    inputs: tuple[InputPlace, ...] = ()
+    inputs: tuple[InputLocation, ...] = ()
 
     @property
     def shared_tokens(self) -> int:
@@ -60,7 +60,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class PromptRead:
+class PromptOutcome:
     """Outcome of a placed prompt."""
 
     #: Number of the order.
--- a/packages/damsonlane/src/damsonlane/placing/_transfers.py
+++ b/packages/damsonlane/src/damsonlane/placement/_transfers.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 from typing import Final
 
-from damsonlane.placing._engine import Engine
-from damsonlane.placing._prompts import PromptOrder
+from damsonlane.placement._engine import Engine
+from damsonlane.placement._prompts import PlacementRequest
 
 #: Minimum number of tokens that are transferred: starting a transfer takes about as long as
 #: prefilling as many.
@@ -33,7 +33,7 @@
 
 def plan_transfers(
     engines: Mapping[str, Engine],
-    order: PromptOrder,
+    order: PlacementRequest,
     cached: Mapping[str, int],
     pace: float,
     now: float,
@@ -48,7 +48,7 @@
         now: the monotonic clock, in seconds.
     """
     prefilled = {
-        name: engine.kept.count_prefilled(order.shared, now) for name, engine in engines.items()
+        name: engine.cache.count_prefilled(order.shared, now) for name, engine in engines.items()
     }
     # The best two suffice: an engine does not fetch from itself.
     sources = sorted(engines, key=lambda name: -prefilled[name])[:2]
--- a/packages/damsonlane/src/damsonlane/placing/tests/simulation.py
+++ b/packages/damsonlane/src/damsonlane/placement/tests/simulation.py
@@ -10,8 +10,14 @@
 from functools import partial
 from typing import Final
 
-from damsonlane.placing import EngineBook, Placement, PromptOrder, PromptPart, PromptRead
-from damsonlane.placing._prefix_cache import PrefixCache
+from damsonlane.placement import (
+    EngineTable,
+    Placement,
+    PlacementRequest,
+    PromptOutcome,
+    PromptSegment,
+)
+from damsonlane.placement._prefix_cache import PrefixCache
 from damsonlane.ratelimit import RateBucket
 from damsonlane.routing import Origin, Place, Standing, TargetBook
 
@@ -25,7 +31,7 @@
 AIM_SECONDS: Final = 0.5
 
 #: Chooses an engine for an entry, a prompt and a time.
-Choose = Callable[[int, PromptOrder, float], Placement]
+Choose = Callable[[int, PlacementRequest, float], Placement]
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -51,7 +57,7 @@
 @dataclass(kw_only=True)
 class _Prefill:
     entry: int
-    order: PromptOrder
+    order: PlacementRequest
     sent_at: float
     left: float
 
@@ -80,7 +86,7 @@
         #: Tokens of shared segments that were prefilled although an engine had cached them.
         self.recomputed = 0
 
-    def run(self, choose: Choose, note: Callable[[int, PromptRead, float], None]) -> None:
+    def run(self, choose: Choose, note: Callable[[int, PromptOutcome, float], None]) -> None:
         """Run to the end."""
         number = 0
         now = 0.0
@@ -102,33 +108,33 @@
     def _find_rate(self, now: float) -> float:
         return self._prompts.peak_rate if self._is_peak(now) else self._prompts.rate
 
-    def _draw(self, number: int, now: float) -> PromptOrder:
+    def _draw(self, number: int, now: float) -> PlacementRequest:
         subject = self._random.randrange(self._prompts.subjects)
         if self._is_peak(now) and self._random.random() < self._prompts.hot_share:
             subject = 0
         own = min(20_000, max(300, int(self._random.lognormvariate(7.6, 0.8))))
         shared = (
-            PromptPart(identity=f"desk-{subject % 4}", tokens=2_500),
-            PromptPart(identity=f"subject-{subject}", tokens=3_800),
+            PromptSegment(identity=f"desk-{subject % 4}", tokens=2_500),
+            PromptSegment(identity=f"subject-{subject}", tokens=3_800),
         )
-        return PromptOrder(
+        return PlacementRequest(
             number=number, shared=shared, tokens=6_300 + own, aim_left_seconds=AIM_SECONDS
         )
 
-    def _send(self, placement: Placement, entry: int, order: PromptOrder, now: float) -> None:
+    def _send(self, placement: Placement, entry: int, order: PlacementRequest, now: float) -> None:
         name = placement.target
-        cached = self._caches[name].count_kept(order.shared)
+        cached = self._caches[name].count_cached(order.shared)
         if placement.source:
             # A transfer is assumed to take no time: it is much faster than the prefill.
-            cached = max(cached, self._caches[placement.source].count_kept(order.shared))
-        best = max(self._caches[other].count_kept(order.shared) for other in self.engines)
+            cached = max(cached, self._caches[placement.source].count_cached(order.shared))
+        best = max(self._caches[other].count_cached(order.shared) for other in self.engines)
         self.recomputed += max(0, best - cached)
         self._caches[name].add(order.shared)
         self._prefills[name].append(
             _Prefill(entry=entry, order=order, sent_at=now, left=order.tokens - cached)
         )
 
-    def _prefill(self, now: float, note: Callable[[int, PromptRead, float], None]) -> None:
+    def _prefill(self, now: float, note: Callable[[int, PromptOutcome, float], None]) -> None:
         for name, prefills in self._prefills.items():
             if name not in self.engines:
                 prefills.clear()
@@ -138,7 +144,9 @@
                 prefills.remove(prefill)
                 seconds = now - prefill.sent_at + 0.02
                 self.first_events.append(seconds)
-                note(prefill.entry, PromptRead(number=prefill.order.number, seconds=seconds), now)
+                note(
+                    prefill.entry, PromptOutcome(number=prefill.order.number, seconds=seconds), now
+                )
 
 
 def simulate_central(
@@ -182,11 +190,11 @@
         weighs_limits: bool,
     ) -> None:
         self._simulation = simulation
-        self._table = EngineBook(CACHE_TOKENS, transfer_pace)
+        self._table = EngineTable(CACHE_TOKENS, transfer_pace)
         self._buckets = {name: RateBucket(rate, 0.0) for name, rate in rate_limits.items()}
         self._counted = self._buckets.keys() if weighs_limits else ()
 
-    def choose(self, entry: int, order: PromptOrder, now: float) -> Placement:
+    def choose(self, entry: int, order: PlacementRequest, now: float) -> Placement:
         self._table.update(
             [Place(target=name, data_centre="") for name in self._simulation.engines]
         )
@@ -198,8 +206,8 @@
             self._buckets[placement.target].take(now)
         return placement
 
-    def note(self, entry: int, outcome: PromptRead, now: float) -> None:
-        self._table.note_read(f"e{entry}", outcome, now)
+    def note(self, entry: int, outcome: PromptOutcome, now: float) -> None:
+        self._table.record_outcome(f"e{entry}", outcome, now)
 
 
 class _IndependentChoice:
@@ -209,7 +217,7 @@
         self._tables = [TargetBook() for _ in range(6)]
         self._chosen: dict[int, str] = {}
 
-    def choose(self, entry: int, order: PromptOrder, now: float) -> Placement:
+    def choose(self, entry: int, order: PlacementRequest, now: float) -> Placement:
         names = self._simulation.engines
         self._tables[entry].update({n: Standing(address=n, data_centre="x") for n in names})
         origin = Origin(data_centre="x", affinity=order.shared[-1].identity)
@@ -220,7 +228,7 @@
         self._chosen[order.number] = choice.target
         return Placement(number=order.number, target=choice.target)
 
-    def note(self, entry: int, outcome: PromptRead, now: float) -> None:
+    def note(self, entry: int, outcome: PromptOutcome, now: float) -> None:
         self._tables[entry].finish(self._chosen[outcome.number], "good", now)
 
 
--- a/packages/damsonlane/src/damsonlane/placing/tests/test_placement.py
+++ b/packages/damsonlane/src/damsonlane/placement/tests/test_placement.py
@@ -3,16 +3,16 @@
 import unittest
 from dataclasses import replace
 
-from damsonlane.placing import (
-    EngineBook,
-    InputPlace,
+from damsonlane.placement import (
+    EngineTable,
+    InputLocation,
     Placement,
-    PromptOrder,
-    PromptPart,
-    PromptRead,
+    PlacementRequest,
+    PromptOutcome,
+    PromptSegment,
 )
-from damsonlane.placing._prefix_cache import CACHE_SHARE, PrefixCache
-from damsonlane.placing.tests.simulation import PromptLoad, simulate_central, simulate_independent
+from damsonlane.placement._prefix_cache import CACHE_SHARE, PrefixCache
+from damsonlane.placement.tests.simulation import PromptLoad, simulate_central, simulate_independent
 from damsonlane.routing import Place
 
 ENGINES = ("a", "b", "c")
@@ -29,19 +29,22 @@
     tokens: int = 9_000,
     aim: float = 1.0,
     avoid: tuple[str, ...] = (),
-) -> PromptOrder:
-    shared = (PromptPart(identity="all", tokens=2_500), PromptPart(identity=subject, tokens=3_800))
-    return PromptOrder(
+) -> PlacementRequest:
+    shared = (
+        PromptSegment(identity="all", tokens=2_500),
+        PromptSegment(identity=subject, tokens=3_800),
+    )
+    return PlacementRequest(
         number=number, shared=shared, tokens=tokens, aim_left_seconds=aim, avoid=avoid
     )
 
 
 class EngineTableTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.table = EngineBook(300_000)
+        self.table = EngineTable(300_000)
         self.table.update([Place(target=name, data_centre="") for name in ENGINES])
 
-    def place(self, order: PromptOrder, now: float = 0.0) -> str:
+    def place(self, order: PlacementRequest, now: float = 0.0) -> str:
         return self.table.place("e", order, ENGINES, now).target
 
     def test_prompts_of_one_subject_go_to_one_engine_while_it_is_not_busy(self) -> None:
@@ -59,13 +62,15 @@
 
     def test_an_engine_that_did_not_accept_a_prompt_is_ejected(self) -> None:
         first = self.place(make_order(1))
-        self.table.note_read("e", PromptRead(number=1, seconds=None), 0.1)
+        self.table.record_outcome("e", PromptOutcome(number=1, seconds=None), 0.1)
         self.assertNotEqual(self.place(make_order(2), now=0.2), first)
 
     def test_a_slow_engine_gets_fewer_prompts(self) -> None:
         first = self.place(make_order(0), now=0.0)
         for number in range(1, 9):
-            self.table.note_read("e", PromptRead(number=number - 1, seconds=4.0), float(number))
+            self.table.record_outcome(
+                "e", PromptOutcome(number=number - 1, seconds=4.0), float(number)
+            )
             if self.place(make_order(number), now=float(number)) != first:
                 return
         self.fail("a slow engine still got all prompts of a subject")
@@ -81,7 +86,7 @@
         self.assertEqual(self.place(make_order(1)), "")
 
     def test_the_outcome_of_an_unknown_prompt_is_ignored(self) -> None:
-        self.table.note_read("e", PromptRead(number=99, seconds=0.1), 0.0)
+        self.table.record_outcome("e", PromptOutcome(number=99, seconds=0.1), 0.0)
         self.assertIn(self.place(make_order(1)), ENGINES)
 
 
@@ -89,23 +94,23 @@
     """Engines that can transfer cached segments to each other."""
 
     def setUp(self) -> None:
-        self.table = EngineBook(300_000, TRANSFER_PACE)
+        self.table = EngineTable(300_000, TRANSFER_PACE)
         self.table.update([Place(target=name, data_centre=name) for name in ENGINES])
 
-    def place(self, order: PromptOrder, now: float = 0.0) -> Placement:
+    def place(self, order: PlacementRequest, now: float = 0.0) -> Placement:
         return self.table.place("e", order, ENGINES, now)
 
     def test_an_engine_fetches_shared_segments_from_the_one_that_cached_them(self) -> None:
         first = self.place(make_order(1)).target
         other = next(name for name in ENGINES if name != first)
-        inputs = (InputPlace(data_centre=other, size=40_000_000),)
+        inputs = (InputLocation(data_centre=other, size=40_000_000),)
         second = self.place(replace(make_order(2), inputs=inputs), now=5.0)
         self.assertEqual((second.target, second.source), (other, first))
 
     def test_segments_not_prefilled_yet_are_not_fetched(self) -> None:
         first = self.place(make_order(1)).target
         other = next(name for name in ENGINES if name != first)
-        inputs = (InputPlace(data_centre=other, size=40_000_000),)
+        inputs = (InputLocation(data_centre=other, size=40_000_000),)
         self.assertEqual(self.place(replace(make_order(2), inputs=inputs)).source, "")
 
     def test_an_engine_with_all_segments_fetches_none(self) -> None:
@@ -114,7 +119,7 @@
         self.assertEqual((second.target, second.source), (first, ""))
 
     def test_without_transfers_no_segments_are_fetched(self) -> None:
-        table = EngineBook(300_000)
+        table = EngineTable(300_000)
         table.update([Place(target=name, data_centre=name) for name in ENGINES])
         first = table.place("e", make_order(1), ENGINES, 0.0).target
         self.assertEqual(table.place("e", make_order(2, avoid=(first,)), ENGINES, 5.0).source, "")
@@ -125,19 +130,19 @@
         most = next(name for name in ENGINES if name != some)
         other = next(name for name in ENGINES if name not in (some, most))
         for number, target in ((2, most), (3, other)):
-            inputs = (InputPlace(data_centre=target, size=40_000_000),)
+            inputs = (InputLocation(data_centre=target, size=40_000_000),)
             placed = self.place(replace(make_order(number), inputs=inputs), now=5.0 * number)
         self.assertEqual((placed.target, placed.source), (other, most))
 
     def test_no_segments_are_fetched_from_an_engine_that_may_have_restarted(self) -> None:
         first = self.place(make_order(1)).target
-        self.table.note_read("e", PromptRead(number=1, seconds=None), 1.0)
+        self.table.record_outcome("e", PromptOutcome(number=1, seconds=None), 1.0)
         self.assertEqual(self.place(make_order(2, avoid=(first,)), now=5.0).source, "")
 
     def test_a_prompt_goes_to_the_data_centre_of_its_large_inputs(self) -> None:
         for home in ENGINES:
             with self.subTest(home=home):
-                inputs = (InputPlace(data_centre=home, size=4_000_000),)
+                inputs = (InputLocation(data_centre=home, size=4_000_000),)
                 order = replace(make_order(9, subject=f"of {home}"), inputs=inputs)
                 self.assertEqual(self.place(order, now=20.0).target, home)
 
@@ -153,18 +158,18 @@
 class PrefixCacheTest(unittest.TestCase):
     def test_a_segment_counts_only_after_all_before_it(self) -> None:
         cache = PrefixCache(100_000)
-        one, two = (PromptPart(identity=name, tokens=10) for name in ("one", "two"))
+        one, two = (PromptSegment(identity=name, tokens=10) for name in ("one", "two"))
         cache.add((two,))
-        self.assertEqual(cache.count_kept((one, two)), 0)
+        self.assertEqual(cache.count_cached((one, two)), 0)
         cache.add((one,))
-        self.assertEqual(cache.count_kept((one, two)), 20)
+        self.assertEqual(cache.count_cached((one, two)), 20)
 
     def test_the_least_recently_used_segment_is_evicted(self) -> None:
         cache = PrefixCache(int(30 / CACHE_SHARE) + 1)
-        parts = [PromptPart(identity=f"{n}", tokens=10) for n in range(4)]
+        parts = [PromptSegment(identity=f"{n}", tokens=10) for n in range(4)]
         for part in (*parts[:3], parts[0], parts[3]):
             cache.add((part,))
-        self.assertEqual([cache.count_kept((part,)) for part in parts], [10, 0, 10, 10])
+        self.assertEqual([cache.count_cached((part,)) for part in parts], [10, 0, 10, 10])
 
 
 class LoadPatternTest(unittest.TestCase):
--- a/packages/damsonlane_rpc/src/damsonlane_rpc/_fleet_messages.py
+++ b/packages/damsonlane_rpc/src/damsonlane_rpc/_fleet_messages.py
@@ -8,7 +8,7 @@
 from damsonlane.cluster import PackedDocument
 from damsonlane.evacuation import EvacuationList
 from damsonlane.membership import BoxRecord
-from damsonlane.placing import Placement, PromptOrder, PromptRead
+from damsonlane.placement import Placement, PlacementRequest, PromptOutcome
 from damsonlane.pools import PieceOrder, PieceResult
 from damsonlane.quarantine import QuarantineList
 from damsonlane.ratelimit import Permit, PermitOrder, RateLimitList, RateWord
@@ -111,9 +111,9 @@
     #: Handles of results that were used or discarded.
     freed: tuple[str, ...] = ()
     #: Prompts to place, if the targets are engines.
-    prompts: tuple[PromptOrder, ...] = ()
+    prompts: tuple[PlacementRequest, ...] = ()
     #: Outcomes of placed prompts.
-    reads: tuple[PromptRead, ...] = ()
+    reads: tuple[PromptOutcome, ...] = ()
     #: Requests that need permits, since their targets announced rate limits.
     permits: tuple[PermitOrder, ...] = ()
     #: Rate limits that targets of the service announced, as the sender knows them.
--- a/packages/damsonlaned/src/damsonlaned/gateway/_attempts.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_attempts.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from damsonlane.placing import InputPlace, PromptOrder, PromptPart
+from damsonlane.placement import InputLocation, PlacementRequest, PromptSegment
 from damsonlane.requests import WindowBudget
 from damsonlane.routing import Health
 from damsonlaned.dialects import AnswerSigns, Attempt, Dialect
@@ -79,7 +79,7 @@
         self._budgets: dict[str, WindowBudget] = {}
 
     async def choose(
-        self, call: Call, avoid: Collection[str], places: Sequence[InputPlace] = ()
+        self, call: Call, avoid: Collection[str], places: Sequence[InputLocation] = ()
     ) -> Chosen | NoPlace:
         """Choose a target for a request.
 
@@ -96,7 +96,7 @@
         return await self._places.find_begin_wait(call.service)
 
     async def _place_prompt(
-        self, call: Call, avoid: Collection[str], places: Sequence[InputPlace]
+        self, call: Call, avoid: Collection[str], places: Sequence[InputLocation]
     ) -> Chosen | None:
         """Request the placement of a prompt; None where this entry chooses the engine itself."""
         if call.service.engine is None:
@@ -233,14 +233,14 @@
 
 
 def _make_prompt_order(
-    call: Call, avoid: tuple[str, ...], places: tuple[InputPlace, ...]
-) -> PromptOrder:
+    call: Call, avoid: tuple[str, ...], places: tuple[InputLocation, ...]
+) -> PlacementRequest:
     """Return the order to place the prompt of a request; the client sets its number."""
     now = asyncio.get_running_loop().time()
-    return PromptOrder(
+    return PlacementRequest(
         number=0,
         shared=tuple(
-            PromptPart(identity=part.identity, tokens=part.tokens)
+            PromptSegment(identity=part.identity, tokens=part.tokens)
             for part in call.request.prefix[:-1]
         ),
         tokens=call.request.tokens_in,
--- a/packages/damsonlaned/src/damsonlaned/gateway/_owner_link.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_owner_link.py
@@ -7,7 +7,7 @@
 
 from grpclib.client import Stream
 
-from damsonlane.placing import Placement
+from damsonlane.placement import Placement
 from damsonlane.pools import PieceResult
 from damsonlane.ratelimit import Permit
 from damsonlane_rpc import CALL_ERRORS, POOL, PoolOrders, PoolResults, open_channel
--- a/packages/damsonlaned/src/damsonlaned/gateway/_placement_client.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_placement_client.py
@@ -7,7 +7,7 @@
 from dataclasses import replace
 from typing import Final, Protocol
 
-from damsonlane.placing import Placement, PromptOrder, PromptRead
+from damsonlane.placement import Placement, PlacementRequest, PromptOutcome
 from damsonlane_rpc import PoolOrders
 from damsonlaned.gateway._placer import PromptPlacers
 
@@ -49,10 +49,10 @@
         self._address: Final = address
         self._numbers: Final = itertools.count(1)
         self._pending: dict[int, asyncio.Future[Placement]] = {}
-        self._reads: dict[tuple[str, str], list[PromptRead]] = {}
+        self._reads: dict[tuple[str, str], list[PromptOutcome]] = {}
         self._skipped_until: dict[str, float] = {}
 
-    async def place(self, service: str, order: PromptOrder) -> "PlacedPrompt | None":
+    async def place(self, service: str, order: PlacementRequest) -> "PlacedPrompt | None":
         """Return the placement of a prompt, or None if the entry must choose by itself.
 
         Args:
@@ -73,7 +73,7 @@
             if pending is not None and not pending.done():
                 pending.set_result(placement)
 
-    def report_read(self, owner: str, service: str, read: PromptRead) -> None:
+    def report_read(self, owner: str, service: str, read: PromptOutcome) -> None:
         """Report the outcome of a prompt to an owner, batched with others."""
         if owner == self._address:
             placer = self._placers.find(service)
@@ -90,7 +90,7 @@
         reads = tuple(self._reads.pop((owner, service), ()))
         self._links.send(owner, PoolOrders(service=service, reads=reads))
 
-    async def _ask(self, owner: str, service: str, order: PromptOrder) -> Placement | None:
+    async def _ask(self, owner: str, service: str, order: PlacementRequest) -> Placement | None:
         """Return the placement that an owner chose, or None on a timeout."""
         if owner == self._address:
             placer = self._placers.find(service)
@@ -143,5 +143,5 @@
         if self._is_reported:
             return
         self._is_reported = True
-        read = PromptRead(number=self._number, seconds=seconds)
+        read = PromptOutcome(number=self._number, seconds=seconds)
         self._client.report_read(self._owner, self._service, read)
--- a/packages/damsonlaned/src/damsonlaned/gateway/_placer.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_placer.py
@@ -6,7 +6,7 @@
 
 from damsonlane.backoff import TargetStart
 from damsonlane.coldness import ColdGate
-from damsonlane.placing import EngineBook, Placement, PromptOrder, PromptRead
+from damsonlane.placement import EngineTable, Placement, PlacementRequest, PromptOutcome
 from damsonlane.routes import EngineTraits
 from damsonlane.routing import Place, PromptSides
 from damsonlaned.gateway._view import FleetView
@@ -27,24 +27,24 @@
         seconds_per_token = (
             properties.token_bytes / properties.link_speed if properties.link_speed else None
         )
-        self._book: Final = EngineBook(properties.cache_tokens, seconds_per_token)
+        self._book: Final = EngineTable(properties.cache_tokens, seconds_per_token)
         self._sides: Final = PromptSides()
         self._warm_up_gate: Final = ColdGate()
         self._places: tuple[Place, ...] = ()
         view.on_change(self._update_engines)
         self._update_engines()
 
-    def place(self, sender: str, orders: Sequence[PromptOrder]) -> tuple[Placement, ...]:
+    def place(self, sender: str, orders: Sequence[PlacementRequest]) -> tuple[Placement, ...]:
         """Return an engine for each prompt."""
         return tuple(self._place_one(sender, order) for order in orders)
 
-    def record_reads(self, sender: str, reads: Sequence[PromptRead]) -> None:
+    def record_reads(self, sender: str, reads: Sequence[PromptOutcome]) -> None:
         """Record the outcomes of prompts."""
         now = asyncio.get_running_loop().time()
         for read in reads:
-            self._book.note_read(sender, read, now)
+            self._book.record_outcome(sender, read, now)
 
-    def _place_one(self, sender: str, order: PromptOrder) -> Placement:
+    def _place_one(self, sender: str, order: PlacementRequest) -> Placement:
         self._sides.note(order.tokens)
         side = self._sides.find_side(order.tokens, self._places)
         now = asyncio.get_running_loop().time()
--- a/packages/damsonlaned/src/damsonlaned/gateway/_stage_orders.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_stage_orders.py
@@ -7,7 +7,7 @@
 from typing import Final
 
 from damsonlane.admission import FirstEventForecast
-from damsonlane.placing import InputPlace
+from damsonlane.placement import InputLocation
 from damsonlane.pools import PieceOrder, StageStart
 from damsonlane.routes import Stage
 from damsonlaned.gateway._call import Call
@@ -72,14 +72,14 @@
             return ""
         return self._most_common_data_centre(start.inputs)
 
-    def find_input_places(self, attempt: StageAttempt) -> tuple[InputPlace, ...]:
+    def find_input_places(self, attempt: StageAttempt) -> tuple[InputLocation, ...]:
         """Return the bytes of the last step's inputs that each data centre holds."""
         sizes: Counter[str] = Counter()
         for index, handles in attempt.plan.final_handles().items():
             size = attempt.call.route.stages[index].result_bytes
             for handle in handles:
                 sizes[self._locate(handle)] += size
-        return tuple(InputPlace(data_centre=name, size=size) for name, size in sizes.items())
+        return tuple(InputLocation(data_centre=name, size=size) for name, size in sizes.items())
 
     def make_order(
         self, attempt: StageAttempt, start: StageStart, piece: int, home: str
--- a/packages/damsonlaned/src/damsonlaned/gateway/_stage_work.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_stage_work.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from damsonlane.placing import InputPlace
+from damsonlane.placement import InputLocation
 from damsonlane.pools import StagePlan, StageStart
 from damsonlaned.gateway._call import Call
 
@@ -27,7 +27,7 @@
     #: All results that must be freed.
     held: tuple[HeldResult, ...] = ()
     #: Data centres that hold the last step's inputs.
-    places: tuple[InputPlace, ...] = ()
+    places: tuple[InputLocation, ...] = ()
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_closed_targets.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_closed_targets.py
@@ -5,7 +5,7 @@
 
 from damsonlane.evacuation import EvacuationList
 from damsonlane.membership import BoxRecord
-from damsonlane.placing import PromptOrder, PromptPart
+from damsonlane.placement import PlacementRequest, PromptSegment
 from damsonlane.routes import EngineTraits, RoutingDocument, Service
 from damsonlane.targets import TargetChanges, TargetRecord
 from damsonlaned.dialects import NativeDialect
@@ -88,9 +88,9 @@
     view.put_evacuations(EvacuationList(revision=revision, data_centres=names))
 
 
-def order_prompt(number: int, part: str = "p") -> PromptOrder:
-    shared = (PromptPart(identity=part, tokens=500),)
-    return PromptOrder(number=number, shared=shared, tokens=900, aim_left_seconds=1.0)
+def order_prompt(number: int, part: str = "p") -> PlacementRequest:
+    shared = (PromptSegment(identity=part, tokens=500),)
+    return PlacementRequest(number=number, shared=shared, tokens=900, aim_left_seconds=1.0)
 
 
 class EvacuatedTest(unittest.IsolatedAsyncioTestCase):
@@ -250,11 +250,11 @@
         put(view, 1, *(replace(record, start=100) for record in others))
         placer = PromptPlacer("model", TRAITS, view)
         (first,) = placer.place("s", (order_prompt(1),))
-        cached = placer._book._engines[first.target].kept
-        self.assertGreater(cached.count_kept(order_prompt(2).shared), 0)
+        cached = placer._book._engines[first.target].cache
+        self.assertGreater(cached.count_cached(order_prompt(2).shared), 0)
         put(view, 2, *(replace(record, start=200) for record in others))
-        cached = placer._book._engines[first.target].kept
-        self.assertEqual(cached.count_kept(order_prompt(3).shared), 0)
+        cached = placer._book._engines[first.target].cache
+        self.assertEqual(cached.count_cached(order_prompt(3).shared), 0)
 
 
 class DocumentTest(unittest.TestCase):
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_placement.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_placement.py
@@ -6,7 +6,7 @@
 
 from grpclib.server import Stream
 
-from damsonlane.placing import Placement, PromptOrder, PromptPart
+from damsonlane.placement import Placement, PlacementRequest, PromptSegment
 from damsonlane.routes import EngineTraits
 from damsonlane.routes import Service as RouteService
 from damsonlane.targets import TargetRecord
@@ -23,9 +23,9 @@
     name="engines", most_connections=20, engine=EngineTraits(slots=4, cache_tokens=100_000)
 )
 WITH_ENGINES = replace(DOCUMENT, services=(*DOCUMENT.services, ENGINES))
-ORDER = PromptOrder(
+ORDER = PlacementRequest(
     number=0,
-    shared=(PromptPart(identity="s", tokens=3_000),),
+    shared=(PromptSegment(identity="s", tokens=3_000),),
     tokens=9_000,
     aim_left_seconds=1.0,
 )
