--- a/packages/damsonlane/src/damsonlane/pools/__init__.py
+++ b/packages/damsonlane/src/damsonlane/pools/__init__.py
@@ -1,24 +1,24 @@
 """Stage pools: pieces of work, their scheduling, and the result memory of targets."""
 
 from damsonlane.pools._pieces import PieceFault, PieceOrder, PieceResult
-from damsonlane.pools._plan import StagePlan, StageStart
-from damsonlane.pools._priorities import RANKS_OF_ROUTES
+from damsonlane.pools._plan import ReadyStage, StageProgress
+from damsonlane.pools._priorities import ROUTE_PRIORITY_LEVELS
 from damsonlane.pools._queue import PieceQueue, Selection
-from damsonlane.pools._room import ResultRoom
-from damsonlane.pools._throughput import YieldedWork
-from damsonlane.pools._waiting import Offer, WaitingPiece
+from damsonlane.pools._result_memory import ResultMemory
+from damsonlane.pools._throughput import ThroughputEstimate
+from damsonlane.pools._waiting import CallCapacity, WaitingPiece
 
 __all__ = [
-    "RANKS_OF_ROUTES",
-    "Offer",
+    "ROUTE_PRIORITY_LEVELS",
+    "CallCapacity",
     "PieceFault",
     "PieceOrder",
     "PieceQueue",
     "PieceResult",
-    "ResultRoom",
+    "ResultMemory",
     "Selection",
-    "StagePlan",
-    "StageStart",
+    "StageProgress",
+    "ReadyStage",
     "WaitingPiece",
-    "YieldedWork",
+    "ThroughputEstimate",
 ]
--- a/packages/damsonlane/src/damsonlane/pools/_batch.py
+++ b/packages/damsonlane/src/damsonlane/pools/_batch.py
@@ -2,7 +2,7 @@
 
 from typing import Final
 
-from damsonlane.pools._waiting import Offer, WaitingPiece
+from damsonlane.pools._waiting import CallCapacity, WaitingPiece
 
 #: Time that a piece must have left after waiting for a target in the data centre of its
 #: inputs, in full calls; with less it runs elsewhere and its inputs are transferred.
@@ -17,7 +17,7 @@
 CALLS_TO_WAIT_FOR_WHOLE_STAGE: Final = 2.0
 
 
-def fill_batch(ordered: list[WaitingPiece], now: float, offer: Offer) -> list[WaitingPiece]:
+def fill_batch(ordered: list[WaitingPiece], now: float, offer: CallCapacity) -> list[WaitingPiece]:
     """Return the pieces of one call, within its batch size and the free result memory.
 
     Args:
@@ -30,18 +30,20 @@
     batch = _take_groups(groups, now, offer)
     if not batch and groups:
         # Running a part of the most urgent stage is better than leaving the target idle.
-        return _take(groups[0], offer.batch, offer.room)
+        return _take(groups[0], offer.batch, offer.result_memory_bytes)
     return batch
 
 
-def _take_groups(groups: list[list[WaitingPiece]], now: float, offer: Offer) -> list[WaitingPiece]:
+def _take_groups(
+    groups: list[list[WaitingPiece]], now: float, offer: CallCapacity
+) -> list[WaitingPiece]:
     """Return the pieces of all groups that fit completely, and parts of those that may be split.
 
     The pieces of one stage of a request run in one call if possible: split over several calls,
     the first results would occupy result memory until the last piece is computed.
     """
     batch: list[WaitingPiece] = []
-    memory_bytes = float(offer.room)
+    memory_bytes = float(offer.result_memory_bytes)
     for group in groups:
         taken = _take(group, offer.batch - len(batch), memory_bytes)
         if len(taken) < len(group) and not _may_split(group, now, offer):
@@ -51,7 +53,7 @@
     return batch
 
 
-def _prefer_local(pieces: list[WaitingPiece], offer: Offer) -> list[WaitingPiece]:
+def _prefer_local(pieces: list[WaitingPiece], offer: CallCapacity) -> list[WaitingPiece]:
     """Return pieces reordered so that pieces for this data centre come first.
 
     Only pieces that run at the same time change places: their order decides where each one
@@ -90,19 +92,21 @@
     return size * (1.0 + SIZE_MARGIN) if piece.order.inputs else size
 
 
-def _may_split(group: list[WaitingPiece], now: float, offer: Offer) -> bool:
+def _may_split(group: list[WaitingPiece], now: float, offer: CallCapacity) -> bool:
     """Return whether a group may run in several calls: it exceeds one call, or cannot wait."""
     is_too_large = len(group) > offer.batch
-    is_short_of_time = group[0].aim_at < now + CALLS_TO_WAIT_FOR_WHOLE_STAGE * offer.full_seconds
+    is_short_of_time = (
+        group[0].objective_at < now + CALLS_TO_WAIT_FOR_WHOLE_STAGE * offer.full_seconds
+    )
     return is_too_large or is_short_of_time
 
 
-def _may_run_at(piece: WaitingPiece, now: float, offer: Offer) -> bool:
+def _may_run_at(piece: WaitingPiece, now: float, offer: CallCapacity) -> bool:
     """Return whether a piece may run here rather than wait for a target in its home data centre."""
     home = piece.order.home
-    if home in ("", offer.data_centre) or home not in offer.free_in:
+    if home in ("", offer.data_centre) or home not in offer.seconds_until_free:
         return True
-    if offer.free_in[home] > HOME_WAIT_SECONDS:
+    if offer.seconds_until_free[home] > HOME_WAIT_SECONDS:
         return True
-    begins_at = now + offer.free_in[home]
-    return piece.aim_at < begins_at + CALLS_AFTER_WAIT * offer.full_seconds
+    begins_at = now + offer.seconds_until_free[home]
+    return piece.objective_at < begins_at + CALLS_AFTER_WAIT * offer.full_seconds
--- a/packages/damsonlane/src/damsonlane/pools/_plan.py
+++ b/packages/damsonlane/src/damsonlane/pools/_plan.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class StageStart:
+class ReadyStage:
     """A stage whose pieces may be ordered."""
 
     #: Index of the stage.
@@ -24,7 +24,7 @@
     inputs: tuple[str, ...]
 
 
-class StagePlan:
+class StageProgress:
     """Progress of one request through its stages.
 
     Args:
@@ -41,7 +41,7 @@
 
     def take_ready(
         self, expect_seconds: Callable[[Stage], float] = lambda _: 0.0
-    ) -> tuple[StageStart, ...]:
+    ) -> tuple[ReadyStage, ...]:
         """Return the stages that should start now and were not returned before.
 
         A stage with slack is postponed: computed too early, its results would only occupy
@@ -50,7 +50,7 @@
         Args:
             expect_seconds: returns the expected duration of a stage, queueing included.
         """
-        longest = self.longest_seconds(expect_seconds)
+        longest = self.critical_path_seconds(expect_seconds)
         ready = [
             index
             for index in range(len(self._stages))
@@ -61,11 +61,11 @@
         self._started.update(ready)
         return tuple(self._make_start(index) for index in ready)
 
-    def note(self, stage: int, piece: int, handle: str) -> None:
+    def record_result(self, stage: int, piece: int, handle: str) -> None:
         """Record the result of a piece."""
         self._handles[stage][piece] = handle
 
-    def note_read(self, stage: int, piece: int) -> None:
+    def record_inputs_read(self, stage: int, piece: int) -> None:
         """Record that a target has read the inputs of a piece that is not computed yet."""
         self._read[stage].add(piece)
 
@@ -87,7 +87,7 @@
         """Return the handles of all results so far."""
         return tuple(handle for index in self._handles for handle in self._list_handles(index))
 
-    def spent_inputs(self, stage: int) -> tuple[str, ...]:
+    def releasable_inputs(self, stage: int) -> tuple[str, ...]:
         """Return the inputs of a stage that no stage needs any more."""
         return tuple(
             handle
@@ -96,23 +96,23 @@
             for handle in self._list_handles(earlier)
         )
 
-    def depth_after(self, stage: int) -> tuple[Stage, ...]:
+    def longest_chain_after(self, stage: int) -> tuple[Stage, ...]:
         """Return the longest chain of stages that depend on a stage."""
         chains = [
-            (later, *self.depth_after(index))
+            (later, *self.longest_chain_after(index))
             for index, later in enumerate(self._stages)
             if stage in later.after and self._pieces[index]
         ]
         return max(chains, key=len, default=())
 
-    def longest_seconds(self, expect_seconds: Callable[[Stage], float]) -> float:
+    def critical_path_seconds(self, expect_seconds: Callable[[Stage], float]) -> float:
         """Return the length of the critical path through the stages left, in seconds."""
         left = (index for index in range(len(self._stages)) if not self._is_computed(index))
         return max((self._path_seconds(index, expect_seconds) for index in left), default=0.0)
 
     def _path_seconds(self, index: int, expect_seconds: Callable[[Stage], float]) -> float:
         """Return the seconds from the start of a stage to the end of the longest chain after it."""
-        return sum(map(expect_seconds, (self._stages[index], *self.depth_after(index))))
+        return sum(map(expect_seconds, (self._stages[index], *self.longest_chain_after(index))))
 
     def _may_start(self, index: int) -> bool:
         is_included = self._pieces[index] > 0
@@ -132,10 +132,10 @@
         """Return whether every piece of a stage has read its inputs, computed or not."""
         return len(self._read[index] | set(self._handles[index])) >= self._pieces[index]
 
-    def _make_start(self, index: int) -> StageStart:
+    def _make_start(self, index: int) -> ReadyStage:
         stage = self._stages[index]
         inputs = tuple(handle for earlier in stage.after for handle in self._list_handles(earlier))
-        return StageStart(index=index, stage=stage, pieces=self._pieces[index], inputs=inputs)
+        return ReadyStage(index=index, stage=stage, pieces=self._pieces[index], inputs=inputs)
 
     def _list_handles(self, index: int) -> tuple[str, ...]:
         by_piece = self._handles[index]
--- a/packages/damsonlane/src/damsonlane/pools/_priorities.py
+++ b/packages/damsonlane/src/damsonlane/pools/_priorities.py
@@ -16,7 +16,7 @@
 
 #: Number of priority ranks of routes.  A rank combines both priorities: that of the
 #: organisation times this number, plus that of the route.
-RANKS_OF_ROUTES: Final = 4
+ROUTE_PRIORITY_LEVELS: Final = 4
 #: Time constant of the decay of the counts, in seconds.  Longer than a load peak, so that
 #: classes that were shed in one peak go first in the next.
 DECAY_SECONDS: Final = 10.0
@@ -48,7 +48,7 @@
         """Return the priority of a rank; the least goes first."""
         refused = self._refused.get(rank, 0.0)
         total = refused + self._served.get(rank, 0.0) + INITIAL_PIECES
-        organisation_rank, step = divmod(rank, RANKS_OF_ROUTES)
+        organisation_rank, step = divmod(rank, ROUTE_PRIORITY_LEVELS)
         if step == 0:
             return (organisation_rank, -1.0, step)
         return (organisation_rank, step * STEP_SHARE - refused / total, step)
--- a/packages/damsonlane/src/damsonlane/pools/_queue.py
+++ b/packages/damsonlane/src/damsonlane/pools/_queue.py
@@ -9,7 +9,7 @@
 from damsonlane.pools._priorities import ClassPriorities
 from damsonlane.pools._recent_work import RecentWork
 from damsonlane.pools._schedule import Schedule, WaitingStage, group_stages
-from damsonlane.pools._waiting import Offer, WaitingPiece
+from damsonlane.pools._waiting import CallCapacity, WaitingPiece
 
 #: Largest share of a pool that is assumed to be taken by further pieces of higher priority.
 #: Their load peaks last a few seconds; a larger share refuses pieces that could be in time.
@@ -51,11 +51,11 @@
         """Add a piece unless it is in the queue already."""
         self._waiting.setdefault(piece.identity, piece)
 
-    def withdraw(self, sender: str, number: int) -> None:
+    def cancel(self, sender: str, number: int) -> None:
         """Remove a piece that its sender no longer needs."""
         self._waiting.pop((sender, number), None)
 
-    def withdraw_all(self, sender: str) -> None:
+    def cancel_all(self, sender: str) -> None:
         """Remove all pieces of a sender that is disconnected."""
         for identity in [key for key in self._waiting if key[0] == sender]:
             del self._waiting[identity]
@@ -66,19 +66,21 @@
         self._waiting.clear()
         return pieces
 
-    def forecast(self, now: float, offer: Offer, like: PieceOrder) -> float:
+    def estimate_wait(self, now: float, offer: CallCapacity, like: PieceOrder) -> float:
         """Return the seconds until a piece like a given one would start if it were added now.
 
         Only pieces that go before it count: not those that already miss their latency
         objective, nor those whose objective is later.
         """
-        soonest = offer.soonest(now)
+        soonest = offer.earliest_completion(now)
         last_aim_at = now + like.aim_left_seconds
-        ahead = sum(soonest <= piece.aim_at <= last_aim_at for piece in self._waiting.values())
+        ahead = sum(
+            soonest <= piece.objective_at <= last_aim_at for piece in self._waiting.values()
+        )
         wait = ahead / offer.pieces_per_second * self._wait_factor(like.rank, now, offer)
-        return offer.return_seconds + wait
+        return offer.backoff_seconds + wait
 
-    def select(self, now: float, offer: Offer) -> Selection:
+    def select(self, now: float, offer: CallCapacity) -> Selection:
         """Remove and return the pieces of the next call, and those that are too late."""
         expired = self.take_expired(now, offer)
         evaluation = self._evaluate(now, offer)
@@ -96,7 +98,7 @@
                 self._priorities.record_served(piece.order.rank, now)
         return Selection(batch=tuple(batch), late=(*expired, *late))
 
-    def take_late(self, now: float, offer: Offer) -> tuple[WaitingPiece, ...]:
+    def take_late(self, now: float, offer: CallCapacity) -> tuple[WaitingPiece, ...]:
         """Remove and return the pieces that are too late, or will be before their turn."""
         expired = self.take_expired(now, offer)
         refused = _list_pieces(self._list_refused(self._evaluate(now, offer), now, offer))
@@ -104,14 +106,14 @@
         self._remove(refused)
         return (*expired, *refused)
 
-    def take_expired(self, now: float, offer: Offer) -> tuple[WaitingPiece, ...]:
+    def take_expired(self, now: float, offer: CallCapacity) -> tuple[WaitingPiece, ...]:
         """Remove and return the pieces whose deadline passes before a call could compute them."""
-        soonest = offer.soonest(now)
-        expired = [piece for piece in self._waiting.values() if piece.due_at < soonest]
+        soonest = offer.earliest_completion(now)
+        expired = [piece for piece in self._waiting.values() if piece.deadline_at < soonest]
         self._remove(expired)
         return tuple(expired)
 
-    def _evaluate(self, now: float, offer: Offer) -> _Evaluation:
+    def _evaluate(self, now: float, offer: CallCapacity) -> _Evaluation:
         """Order the waiting stages and separate those that can meet their latency objective."""
         schedule = Schedule(offer, now)
         stages = group_stages(self._waiting.values())
@@ -129,7 +131,7 @@
         return _Evaluation(in_time=in_time, not_in_time=not_in_time)
 
     def _list_refused(
-        self, evaluation: _Evaluation, now: float, offer: Offer
+        self, evaluation: _Evaluation, now: float, offer: CallCapacity
     ) -> list[WaitingStage]:
         """Return the stages not in time whose requests are to be refused.
 
@@ -138,7 +140,7 @@
         requests in time need, but not once their callers have waited for long.  Stages that
         the targets can take at once are not refused, unless no target can be used.
         """
-        at_once = offer.pieces_soon
+        at_once = offer.pieces_within_call
         ahead = sum(len(stage.pieces) for stage in evaluation.in_time)
         refused: list[WaitingStage] = []
         for stage in evaluation.not_in_time:
@@ -148,11 +150,11 @@
                 ahead += len(stage.pieces)
         return refused
 
-    def _capacity_share(self, rank: int, now: float, offer: Offer) -> float:
+    def _capacity_share(self, rank: int, now: float, offer: CallCapacity) -> float:
         """Return the share of the nominal throughput that is left for a rank."""
-        return offer.yielded_share / self._wait_factor(rank, now, offer)
+        return offer.throughput_ratio / self._wait_factor(rank, now, offer)
 
-    def _wait_factor(self, rank: int, now: float, offer: Offer) -> float:
+    def _wait_factor(self, rank: int, now: float, offer: CallCapacity) -> float:
         """Return by what factor further pieces of higher priority lengthen the wait of a rank.
 
         They are assumed to keep arriving at their recent rate.
--- a/packages/damsonlane/src/damsonlane/pools/_room.py
+++ b/packages/damsonlane/src/damsonlane/pools/_result_memory.py
@@ -19,7 +19,7 @@
     expires_at: float
 
 
-class ResultRoom:
+class ResultMemory:
     """Counts results from the start of their call until they are released or expire.
 
     Args:
@@ -43,10 +43,10 @@
         for handle in [name for name, result in self._stored.items() if result.expires_at <= now]:
             del self._stored[handle]
         used = sum(result.size for result in self._stored.values())
-        unknown = self._unknown if self.was_refused_lately(now) else 0
+        unknown = self._unknown if self.was_rejected_recently(now) else 0
         return self._size - used - self._announced - unknown
 
-    def announce(self, size: int) -> None:
+    def reserve(self, size: int) -> None:
         """Reserve memory for the results of a call that starts.
 
         Args:
@@ -54,7 +54,7 @@
         """
         self._announced += size
 
-    def settle(self, announced: int, made: dict[str, int], now: float) -> None:
+    def commit(self, announced: int, made: dict[str, int], now: float) -> None:
         """Replace the reservation of a call by the results that it computed.
 
         Args:
@@ -66,7 +66,7 @@
         for handle, size in made.items():
             self._stored[handle] = _StoredResult(size=size, expires_at=now + self._keep_seconds)
 
-    def note_refused(self, missing: int, size: int, now: float) -> None:
+    def record_rejection(self, missing: int, size: int, now: float) -> None:
         """Record that the target rejected a call because it had less free memory than estimated.
 
         Args:
@@ -74,16 +74,16 @@
             size: size of one of the rejected results, in bytes.
             now: the monotonic clock, in seconds.
         """
-        known = self._unknown if self.was_refused_lately(now) else 0
+        known = self._unknown if self.was_rejected_recently(now) else 0
         self._unknown = known + max(0, missing)
         self._unknown_size = size
         self._rejected_at = now
 
-    def was_refused_lately(self, now: float) -> bool:
+    def was_rejected_recently(self, now: float) -> bool:
         """Return whether the target recently had less free memory than estimated."""
         return now < self._rejected_at + UNKNOWN_SECONDS
 
-    def free(self, handle: str) -> bool:
+    def release(self, handle: str) -> bool:
         """Remove a released result, and return whether it was known."""
         if self._stored.pop(handle, None) is not None:
             return True
--- a/packages/damsonlane/src/damsonlane/pools/_schedule.py
+++ b/packages/damsonlane/src/damsonlane/pools/_schedule.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from damsonlane.pools._waiting import Offer, WaitingPiece
+from damsonlane.pools._waiting import CallCapacity, WaitingPiece
 
 #: Time steps per full call; more steps cost processor time.
 STEPS_PER_CALL: Final = 8
@@ -34,7 +34,7 @@
     @property
     def aim_at(self) -> float:
         """When the results must be available to meet the latency objective."""
-        return self.pieces[0].aim_at
+        return self.pieces[0].objective_at
 
     @property
     def is_unstarted(self) -> bool:
@@ -43,7 +43,7 @@
 
     def may_be_refused(self, now: float) -> bool:
         """Return whether the request may still be refused or abandoned."""
-        return self.is_unstarted or now < self.pieces[0].give_up_until
+        return self.is_unstarted or now < self.pieces[0].abandonable_until
 
 
 class Schedule:
@@ -54,7 +54,7 @@
         now: the monotonic clock, in seconds.
     """
 
-    def __init__(self, offer: Offer, now: float) -> None:
+    def __init__(self, offer: CallCapacity, now: float) -> None:
         self._now: Final = now
         self._step: Final = offer.full_seconds / STEPS_PER_CALL
         steps = _count_steps(offer, self._step)
@@ -101,27 +101,29 @@
     return [WaitingStage(pieces=tuple(group)) for group in groups.values()]
 
 
-def _count_steps(offer: Offer, step: float) -> int:
+def _count_steps(offer: CallCapacity, step: float) -> int:
     """Return the length of the horizon; it includes the next calls of rate-limited targets."""
     usual = STEPS_PER_CALL * CALLS_AHEAD
-    if not offer.gap_seconds:
+    if not offer.call_interval_seconds:
         return usual
-    next_calls = map(sum, zip(offer.busy_seconds, offer.gap_seconds, strict=True))
+    next_calls = map(sum, zip(offer.busy_seconds, offer.call_interval_seconds, strict=True))
     return min(MAX_STEPS, usual + int(max(next_calls) / step))
 
 
-def _find_capacity(offer: Offer, step: float, steps: int) -> Sequence[float]:
+def _find_capacity(offer: CallCapacity, step: float, steps: int) -> Sequence[float]:
     """Return how many pieces the targets can compute by the end of each step."""
     capacity = [0.0] * steps
     # If no target can be used, one is assumed to return at once or after its back-off.
-    waits = offer.busy_seconds or (offer.return_seconds,)
-    gaps = offer.gap_seconds or (0.0,) * len(waits)
+    waits = offer.busy_seconds or (offer.backoff_seconds,)
+    gaps = offer.call_interval_seconds or (0.0,) * len(waits)
     for busy, gap in zip(waits, gaps, strict=True):
         _add_target(capacity, offer, step, busy, gap)
     return capacity
 
 
-def _add_target(capacity: list[float], offer: Offer, step: float, busy: float, gap: float) -> None:
+def _add_target(
+    capacity: list[float], offer: CallCapacity, step: float, busy: float, gap: float
+) -> None:
     """Add what one target computes by the end of each step: full calls, then a partial one.
 
     Args:
--- a/packages/damsonlane/src/damsonlane/pools/_throughput.py
+++ b/packages/damsonlane/src/damsonlane/pools/_throughput.py
@@ -8,7 +8,7 @@
 SHARE_RANGE: Final = (0.5, 1.2)
 
 
-class YieldedWork:
+class ThroughputEstimate:
     """Moving average of the throughput of a pool while its queue could fill a call.
 
     Calls are smaller than possible where result memory or the size of stages limits them;
@@ -18,12 +18,12 @@
     def __init__(self) -> None:
         self._share = 1.0
 
-    def share(self) -> float:
+    def ratio(self) -> float:
         """Return the throughput as a share of that of full calls in their nominal time."""
         low, high = SHARE_RANGE
         return min(high, max(low, self._share))
 
-    def note(self, pieces: int, batch: int, seconds: float, full_seconds: float) -> None:
+    def record_call(self, pieces: int, batch: int, seconds: float, full_seconds: float) -> None:
         """Record a call that could have been full.
 
         Args:
--- a/packages/damsonlane/src/damsonlane/pools/_waiting.py
+++ b/packages/damsonlane/src/damsonlane/pools/_waiting.py
@@ -15,11 +15,11 @@
     #: Name of the sender, to which the result is returned.
     sender: str
     #: Deadline after which nobody waits for the result, by the monotonic clock.
-    due_at: float
+    deadline_at: float
     #: When the result must be available to meet the latency objective, by the same clock.
-    aim_at: float
+    objective_at: float
     #: Until when the request may be abandoned, by the same clock.
-    give_up_until: float = float("inf")
+    abandonable_until: float = float("inf")
     #: Number of times that the piece was sent to a target.
     attempts: int = 0
 
@@ -40,15 +40,15 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Offer:
+class CallCapacity:
     """A target that can take a call, and the capacity of its pool."""
 
     #: Data centre of the target.
     data_centre: str
     #: Free result memory of the target, in bytes.
-    room: int
+    result_memory_bytes: int
     #: Seconds until a target is free, for each data centre with a usable target.
-    free_in: Mapping[str, float]
+    seconds_until_free: Mapping[str, float]
     #: Seconds until each usable target is free and below its rate limit.
     busy_seconds: tuple[float, ...]
     #: Maximum number of pieces in one call.
@@ -58,12 +58,12 @@
     #: Time of one piece, in seconds.
     piece_seconds: float
     #: Measured throughput under load, as a share of the nominal throughput.
-    yielded_share: float = 1.0
+    throughput_ratio: float = 1.0
     #: Seconds for which all targets of the pool back off; 0 if any is usable.
-    return_seconds: float = 0.0
+    backoff_seconds: float = 0.0
     #: Minimum seconds from one call to the next at each usable target, by its rate limit;
     #: empty if no target announced one.
-    gap_seconds: tuple[float, ...] = ()
+    call_interval_seconds: tuple[float, ...] = ()
 
     @property
     def targets(self) -> int:
@@ -81,13 +81,13 @@
         return self.batch * max(1, self.targets)
 
     @property
-    def pieces_soon(self) -> int:
+    def pieces_within_call(self) -> int:
         """Number of pieces that usable targets take now or within the time of one call.
 
         A target whose next call is delayed by its rate limit counts as a fraction, so this may
         be 0: pieces that would be late after that call are refused rather than kept.
         """
-        if not self.gap_seconds:
+        if not self.call_interval_seconds:
             return self.batch * self.targets
         parts = (
             1.0 if busy <= 0 else self.full_seconds / cycle
@@ -98,14 +98,14 @@
     @property
     def pieces_per_second(self) -> float:
         """Throughput of the pool under load, in pieces per second."""
-        if not self.gap_seconds:
-            return self.yielded_share * self.pieces_at_once / self.full_seconds
-        return self.yielded_share * self.batch * sum(1.0 / cycle for cycle in self._cycles())
+        if not self.call_interval_seconds:
+            return self.throughput_ratio * self.pieces_at_once / self.full_seconds
+        return self.throughput_ratio * self.batch * sum(1.0 / cycle for cycle in self._cycles())
 
     def _cycles(self) -> tuple[float, ...]:
         """Return the seconds from one full call to the next at each usable target."""
-        return tuple(max(self.full_seconds, gap) for gap in self.gap_seconds)
+        return tuple(max(self.full_seconds, gap) for gap in self.call_interval_seconds)
 
-    def soonest(self, now: float) -> float:
+    def earliest_completion(self, now: float) -> float:
         """Return when a piece sent now, alone in its call, would be computed at the earliest."""
-        return now + self.return_seconds + self.call_seconds + self.piece_seconds
+        return now + self.backoff_seconds + self.call_seconds + self.piece_seconds
--- a/packages/damsonlane/src/damsonlane/pools/tests/simulation.py
+++ b/packages/damsonlane/src/damsonlane/pools/tests/simulation.py
@@ -13,12 +13,12 @@
 from typing import Final
 
 from damsonlane.pools import (
-    Offer,
+    CallCapacity,
     PieceOrder,
     PieceQueue,
-    ResultRoom,
+    ResultMemory,
+    ThroughputEstimate,
     WaitingPiece,
-    YieldedWork,
 )
 
 #: Seconds after which a target evicts a result that is not released.
@@ -163,10 +163,10 @@
         self._counter: Final = itertools.count()
         self._requests: dict[str, _Request] = {}
         pool = pattern.pool
-        self._memories: Final = [ResultRoom(pool.room, KEEP_SECONDS) for _ in pool.data_centres]
+        self._memories: Final = [ResultMemory(pool.room, KEEP_SECONDS) for _ in pool.data_centres]
         self._free_at: Final = [0.0 for _ in pool.data_centres]
         self._is_busy: Final = [False for _ in pool.data_centres]
-        self._throughput: Final = YieldedWork()
+        self._throughput: Final = ThroughputEstimate()
         #: Outcomes by index of the request class.
         self.outcomes: Final = [Outcome() for _ in pattern.classes]
         #: Seconds of target time spent on results that were not used.
@@ -247,9 +247,9 @@
                 WaitingPiece(
                     order=order,
                     sender="e",
-                    due_at=now + order.left_seconds,
-                    aim_at=now + order.aim_left_seconds,
-                    give_up_until=now + order.give_up_left_seconds,
+                    deadline_at=now + order.left_seconds,
+                    objective_at=now + order.aim_left_seconds,
+                    abandonable_until=now + order.give_up_left_seconds,
                 )
             )
 
@@ -270,7 +270,7 @@
             if selection.batch:
                 self._start_call(target, selection.batch, now)
 
-    def _find_capacity(self, target: int, now: float) -> Offer:
+    def _find_capacity(self, target: int, now: float) -> CallCapacity:
         pool = self._pattern.pool
         usable = [index for index in range(len(self._free_at)) if not self._is_down(index, now)]
         waits = {index: max(0.0, self._free_at[index] - now) for index in usable}
@@ -278,15 +278,15 @@
         for index in usable:
             centre = pool.data_centres[index]
             free_in[centre] = min(waits[index], free_in.get(centre, waits[index]))
-        return Offer(
+        return CallCapacity(
             data_centre=pool.data_centres[target],
-            room=self._memories[target].free_bytes(now),
-            free_in=free_in,
+            result_memory_bytes=self._memories[target].free_bytes(now),
+            seconds_until_free=free_in,
             busy_seconds=tuple(waits.values()),
             batch=pool.batch,
             call_seconds=pool.call_seconds,
             piece_seconds=pool.piece_seconds,
-            yielded_share=self._throughput.share()
+            throughput_ratio=self._throughput.ratio()
             if self._pattern.uses_measured_throughput
             else 1.0,
         )
@@ -296,9 +296,9 @@
         seconds = pool.call_seconds + len(batch) * pool.piece_seconds
         if len(batch) + len(self._queue) >= pool.batch:
             full_seconds = pool.call_seconds + pool.batch * pool.piece_seconds
-            self._throughput.note(len(batch), pool.batch, seconds, full_seconds)
+            self._throughput.record_call(len(batch), pool.batch, seconds, full_seconds)
         announced = sum(piece.order.result_bytes for piece in batch)
-        self._memories[target].announce(announced)
+        self._memories[target].reserve(announced)
         self._is_busy[target] = True
         self._free_at[target] = now + seconds
         self._schedule(
@@ -315,13 +315,13 @@
     ) -> None:
         self._is_busy[target] = False
         if self._is_down(target, now):
-            self._memories[target].settle(announced, {}, now)
+            self._memories[target].commit(announced, {}, now)
             for piece in batch:
                 self._queue.add(piece)
             self._schedule(now + 0.15, lambda _: None)
             return
         computed = {f"{piece.order.number}": piece.order.result_bytes for piece in batch}
-        self._memories[target].settle(announced, computed, now)
+        self._memories[target].commit(announced, computed, now)
         for piece in batch:
             self._take_result(target, piece, seconds / len(batch), now)
 
@@ -331,7 +331,7 @@
         self._count_computed(request, piece, target)
         if request.is_over:
             self.wasted_seconds += seconds
-            self._memories[target].free(handle)
+            self._memories[target].release(handle)
             return
         request.handles.append((target, handle))
         request.left -= 1
@@ -370,7 +370,7 @@
 
     def _release_results(self, request: _Request) -> None:
         for target, handle in request.handles:
-            self._memories[target].free(handle)
+            self._memories[target].release(handle)
 
 
 def simulate(pattern: LoadPattern, seeds: int) -> list[Outcome]:
--- a/packages/damsonlane/src/damsonlane/pools/tests/test_queue.py
+++ b/packages/damsonlane/src/damsonlane/pools/tests/test_queue.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 from damsonlane.pools import (
-    Offer,
+    CallCapacity,
     PieceOrder,
     PieceQueue,
     WaitingPiece,
@@ -33,13 +33,13 @@
     number: int, *, aim_at: float = 1.0, due_at: float = 5.0, rank: int = 0
 ) -> WaitingPiece:
     order = replace(ORDER, number=number, request=f"r{number}", rank=rank)
-    return WaitingPiece(order=order, sender="e1", due_at=due_at, aim_at=aim_at)
+    return WaitingPiece(order=order, sender="e1", deadline_at=due_at, objective_at=aim_at)
 
 
-OFFER = Offer(
+OFFER = CallCapacity(
     data_centre="dha",
-    room=1000,
-    free_in={"dha": 0.0, "johar": 0.1, "model-town": 1.0},
+    result_memory_bytes=1000,
+    seconds_until_free={"dha": 0.0, "johar": 0.1, "model-town": 1.0},
     busy_seconds=(0.0,),
     batch=10,
     call_seconds=0.2,
@@ -48,7 +48,7 @@
 
 
 def select(queue: PieceQueue, *, limit: int = 10, room: int = 1000, now: float = 0.0) -> list[int]:
-    selection = queue.select(now, replace(OFFER, batch=limit, room=room))
+    selection = queue.select(now, replace(OFFER, batch=limit, result_memory_bytes=room))
     return [piece.order.number for piece in selection.batch]
 
 
@@ -69,7 +69,7 @@
 
     def test_late_pieces_go_after_all_that_can_meet_their_objective(self) -> None:
         begun = replace(ORDER, number=1, inputs=("h",))
-        self.queue.add(WaitingPiece(order=begun, sender="e1", due_at=99.0, aim_at=0.1))
+        self.queue.add(WaitingPiece(order=begun, sender="e1", deadline_at=99.0, objective_at=0.1))
         self.queue.add(make_piece(2, aim_at=90.0, due_at=99.0, rank=9))
         self.queue.add(make_piece(3, aim_at=0.05, due_at=99.0))
         self.assertEqual(select(self.queue), [2, 1, 3])
@@ -108,8 +108,8 @@
                 queue = PieceQueue()
                 for number in range(2):
                     queue.add(make_piece(number, aim_at=9.0, due_at=20.0))
-                piece = WaitingPiece(order=begun, sender="e1", due_at=20.0, aim_at=0.1)
-                queue.add(replace(piece, give_up_until=give_up_until))
+                piece = WaitingPiece(order=begun, sender="e1", deadline_at=20.0, objective_at=0.1)
+                queue.add(replace(piece, abandonable_until=give_up_until))
                 selection = queue.select(0.0, replace(OFFER, batch=2))
                 self.assertEqual([piece.order.number for piece in selection.batch], [0, 1])
                 self.assertEqual([piece.order.number for piece in selection.late], late)
@@ -124,7 +124,9 @@
             with self.subTest(name):
                 queue = PieceQueue()
                 queue.add(make_piece(1, aim_at=aim_at))
-                late = queue.take_late(0.0, replace(OFFER, busy_seconds=(0.0,) * targets, room=0))
+                late = queue.take_late(
+                    0.0, replace(OFFER, busy_seconds=(0.0,) * targets, result_memory_bytes=0)
+                )
                 self.assertEqual([piece.order.number for piece in late], expected)
                 self.assertEqual(len(queue), 1 - len(expected))
 
@@ -133,7 +135,9 @@
             self.queue.add(make_piece(number, aim_at=9.0, due_at=20.0))
         for number, is_begun in ((8, True), (9, False)):
             order = replace(ORDER, number=number, request=f"r{number}", is_begun=is_begun)
-            self.queue.add(WaitingPiece(order=order, sender="e1", due_at=20.0, aim_at=0.5))
+            self.queue.add(
+                WaitingPiece(order=order, sender="e1", deadline_at=20.0, objective_at=0.5)
+            )
         selection = self.queue.select(0.0, replace(OFFER, batch=1, call_seconds=0.4))
         self.assertEqual([piece.order.number for piece in selection.late], [9])
         self.assertEqual([piece.order.number for piece in selection.batch], [8])
@@ -142,7 +146,7 @@
         for number in range(4):
             self.queue.add(make_piece(number, aim_at=0.1))
         begun = replace(ORDER, number=9, inputs=("h",))
-        self.queue.add(WaitingPiece(order=begun, sender="e1", due_at=5.0, aim_at=0.1))
+        self.queue.add(WaitingPiece(order=begun, sender="e1", deadline_at=5.0, objective_at=0.1))
         selection = self.queue.select(0.0, replace(OFFER, batch=1))
         self.assertEqual([piece.order.number for piece in selection.batch], [9])
         self.assertEqual(len(selection.late), 4)
@@ -160,7 +164,9 @@
             with self.subTest(name):
                 queue = PieceQueue()
                 order = replace(ORDER, home=home, inputs=("h",))
-                queue.add(WaitingPiece(order=order, sender="e1", due_at=20.0, aim_at=aim_at))
+                queue.add(
+                    WaitingPiece(order=order, sender="e1", deadline_at=20.0, objective_at=aim_at)
+                )
                 self.assertEqual(bool(select(queue)), is_run)
 
     def test_pieces_of_one_stage_run_in_one_call(self) -> None:
@@ -176,14 +182,22 @@
                 queue = PieceQueue()
                 for number in range(1, 7):
                     order = replace(ORDER, number=number, request="ab"[number > 3])
-                    queue.add(WaitingPiece(order=order, sender="e1", due_at=20.0, aim_at=aim_at))
+                    queue.add(
+                        WaitingPiece(
+                            order=order, sender="e1", deadline_at=20.0, objective_at=aim_at
+                        )
+                    )
                 self.assertEqual(select(queue, limit=limit, room=room), expected)
 
     def test_a_target_prefers_local_pieces_among_those_that_run_at_once(self) -> None:
         for number, home in ((1, "johar"), (2, "dha"), (3, "johar"), (4, "dha")):
             order = replace(ORDER, number=number, request=f"r{number}", home=home)
-            self.queue.add(WaitingPiece(order=order, sender="e1", due_at=20.0, aim_at=0.5))
-        offer = replace(OFFER, batch=1, busy_seconds=(0.0, 0.0), free_in={"dha": 0.0, "johar": 0.3})
+            self.queue.add(
+                WaitingPiece(order=order, sender="e1", deadline_at=20.0, objective_at=0.5)
+            )
+        offer = replace(
+            OFFER, batch=1, busy_seconds=(0.0, 0.0), seconds_until_free={"dha": 0.0, "johar": 0.3}
+        )
         taken = [
             piece.order.number for _ in range(3) for piece in self.queue.select(0.0, offer).batch
         ]
@@ -196,16 +210,18 @@
         self.assertEqual(len(self.queue.select(0.0, offer).batch), 100)
         for number in range(100, 120):
             self.queue.add(make_piece(number, aim_at=9.0, due_at=20.0, rank=1))
-        usual = self.queue.forecast(0.0, offer, replace(LATEST, rank=0, aim_left_seconds=19.0))
-        after = self.queue.forecast(0.0, offer, replace(LATEST, rank=2, aim_left_seconds=19.0))
-        later = self.queue.forecast(60.0, offer, replace(LATEST, rank=2, aim_left_seconds=19.0))
+        usual = self.queue.estimate_wait(0.0, offer, replace(LATEST, rank=0, aim_left_seconds=19.0))
+        after = self.queue.estimate_wait(0.0, offer, replace(LATEST, rank=2, aim_left_seconds=19.0))
+        later = self.queue.estimate_wait(
+            60.0, offer, replace(LATEST, rank=2, aim_left_seconds=19.0)
+        )
         self.assertGreater(after, 1.5 * usual)
         self.assertEqual(later, 0.0)
 
     def test_the_forecast_ignores_late_pieces(self) -> None:
         for number in range(20):
             self.queue.add(make_piece(number, aim_at=0.1 if number < 10 else 9.0))
-        self.assertAlmostEqual(self.queue.forecast(0.0, OFFER, LATEST), 0.3)
+        self.assertAlmostEqual(self.queue.estimate_wait(0.0, OFFER, LATEST), 0.3)
 
     def test_the_forecast_ignores_pieces_with_later_objectives(self) -> None:
         for number in range(20):
@@ -213,15 +229,15 @@
         for aim_left, seconds in ((1.0, 0.0), (3.0, 0.15), (5.0, 0.6)):
             with self.subTest(aim_left=aim_left):
                 like = replace(ORDER, aim_left_seconds=aim_left)
-                self.assertAlmostEqual(self.queue.forecast(0.0, OFFER, like), seconds)
+                self.assertAlmostEqual(self.queue.estimate_wait(0.0, OFFER, like), seconds)
 
     def test_the_forecast_grows_with_the_queue(self) -> None:
-        self.assertEqual(self.queue.forecast(0.0, OFFER, LATEST), 0.0)
+        self.assertEqual(self.queue.estimate_wait(0.0, OFFER, LATEST), 0.0)
         for number in range(20):
             self.queue.add(make_piece(number))
-        self.assertAlmostEqual(self.queue.forecast(0.0, OFFER, LATEST), 0.6)
+        self.assertAlmostEqual(self.queue.estimate_wait(0.0, OFFER, LATEST), 0.6)
         self.assertAlmostEqual(
-            self.queue.forecast(0.0, replace(OFFER, busy_seconds=(0.0, 0.0)), LATEST), 0.3
+            self.queue.estimate_wait(0.0, replace(OFFER, busy_seconds=(0.0, 0.0)), LATEST), 0.3
         )
 
     def test_a_batch_fits_the_free_result_memory(self) -> None:
@@ -247,11 +263,11 @@
     def test_withdrawn_pieces_do_not_run(self) -> None:
         for number in range(3):
             self.queue.add(make_piece(number))
-        self.queue.withdraw("e1", 1)
-        self.queue.withdraw("e2", 2)
+        self.queue.cancel("e1", 1)
+        self.queue.cancel("e2", 2)
         self.assertEqual(select(self.queue), [0, 2])
         self.queue.add(make_piece(5))
-        self.queue.withdraw_all("e1")
+        self.queue.cancel_all("e1")
         self.assertEqual(len(self.queue), 0)
 
     def test_a_pool_with_lower_throughput_keeps_fewer_waiting(self) -> None:
@@ -260,7 +276,7 @@
                 queue = PieceQueue()
                 for number in range(1, 5):
                     queue.add(make_piece(number, aim_at=0.5))
-                offer = replace(OFFER, batch=2, yielded_share=share)
+                offer = replace(OFFER, batch=2, throughput_ratio=share)
                 selection = queue.select(0.0, offer)
                 self.assertEqual([piece.order.number for piece in selection.late], late)
 
@@ -278,28 +294,28 @@
     def test_a_free_target_gets_waiting_pieces_despite_its_rate_limit(self) -> None:
         self.queue.add(make_piece(1))
         for gap in (0.5, 5.0, 20.0):
-            limited = replace(OFFER, batch=1, busy_seconds=(0.0,), gap_seconds=(gap,))
+            limited = replace(OFFER, batch=1, busy_seconds=(0.0,), call_interval_seconds=(gap,))
             selection = self.queue.select(0.0, limited)
             self.assertEqual(len(selection.batch), 1)
             self.queue.add(make_piece(1))
 
     def test_late_pieces_run_where_a_target_is_free_now(self) -> None:
         self.queue.add(make_piece(1, aim_at=-1.0))
-        limited = replace(OFFER, batch=1, busy_seconds=(0.0,), gap_seconds=(20.0,))
+        limited = replace(OFFER, batch=1, busy_seconds=(0.0,), call_interval_seconds=(20.0,))
         selection = self.queue.select(0.0, limited)
         self.assertEqual((len(selection.batch), selection.late), (1, ()))
 
     def test_pieces_late_after_the_next_call_are_refused_at_once(self) -> None:
         for number in range(1, 4):
             self.queue.add(make_piece(number))
-        limited = replace(OFFER, batch=1, busy_seconds=(0.1,), gap_seconds=(20.0,))
+        limited = replace(OFFER, batch=1, busy_seconds=(0.1,), call_interval_seconds=(20.0,))
         self.assertEqual(len(self.queue.take_late(0.0, limited)), 2)
 
     def test_pieces_in_time_with_the_next_call_are_kept(self) -> None:
         """The next call may lie beyond the planning horizon of a pool without rate limits."""
         self.queue.add(make_piece(1, aim_at=10.0, due_at=12.0))
         self.queue.add(make_piece(2, aim_at=3.0))
-        limited = replace(OFFER, batch=1, busy_seconds=(6.0,), gap_seconds=(8.0,))
+        limited = replace(OFFER, batch=1, busy_seconds=(6.0,), call_interval_seconds=(8.0,))
         late = self.queue.take_late(0.0, limited)
         self.assertEqual([piece.order.number for piece in late], [2])
 
@@ -307,9 +323,9 @@
         for number in range(1, 4):
             self.queue.add(make_piece(number))
         unlimited = replace(OFFER, batch=1, busy_seconds=(0.0, 0.0))
-        limited = replace(unlimited, gap_seconds=(4.0, 0.0))
-        wait = self.queue.forecast(0.0, limited, LATEST)
-        self.assertGreater(wait, 1.5 * self.queue.forecast(0.0, unlimited, LATEST))
+        limited = replace(unlimited, call_interval_seconds=(4.0, 0.0))
+        wait = self.queue.estimate_wait(0.0, limited, LATEST)
+        self.assertGreater(wait, 1.5 * self.queue.estimate_wait(0.0, unlimited, LATEST))
 
 
 if __name__ == "__main__":
--- a/packages/damsonlaned/src/damsonlaned/gateway/_call.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_call.py
@@ -3,7 +3,7 @@
 import asyncio
 from dataclasses import dataclass
 
-from damsonlane.pools import RANKS_OF_ROUTES
+from damsonlane.pools import ROUTE_PRIORITY_LEVELS
 from damsonlane.routes import Organisation, Route, RouteTable, Service
 from damsonlaned.dialects import CallerRequest
 
@@ -42,7 +42,9 @@
     def rank(self) -> int:
         """Priority; 0 comes first.  An organisation's priority comes before a route's."""
         organisation = self.organisation.priority if self.organisation is not None else 0
-        return organisation * RANKS_OF_ROUTES + min(self.route.priority, RANKS_OF_ROUTES - 1)
+        return organisation * ROUTE_PRIORITY_LEVELS + min(
+            self.route.priority, ROUTE_PRIORITY_LEVELS - 1
+        )
 
     def remaining(self) -> float:
         """Return the seconds until its deadline."""
--- a/packages/damsonlaned/src/damsonlaned/gateway/_free_calls.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_free_calls.py
@@ -120,5 +120,5 @@
             return
         # Only now: before the target has freed the memory, it would reject further results.
         for handle in handles:
-            target.result_memory.free(handle)
+            target.result_memory.release(handle)
         self._on_memory_freed()
--- a/packages/damsonlaned/src/damsonlaned/gateway/_pool_calls.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_pool_calls.py
@@ -111,7 +111,8 @@
         """
         now = asyncio.get_running_loop().time()
         orders = [
-            replace(piece.order, left_seconds=max(0.0, piece.due_at - now)) for piece in call.batch
+            replace(piece.order, left_seconds=max(0.0, piece.deadline_at - now))
+            for piece in call.batch
         ]
         request = self._dialect.make_pool_call(call.target.name, orders)
         async with asyncio.timeout(CALL_TIMEOUT_FACTOR * call.seconds + CALL_TIMEOUT_SLACK_SECONDS):
--- a/packages/damsonlaned/src/damsonlaned/gateway/_pool_owner.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_pool_owner.py
@@ -97,7 +97,7 @@
     def detach(self, sender: str) -> None:
         """Unregister a sender that disconnected and drop its queued pieces."""
         self._receivers.detach(sender)
-        self._queue.withdraw_all(sender)
+        self._queue.cancel_all(sender)
 
     def order(self, sender: str, orders: Sequence[PieceOrder]) -> None:
         """Queue pieces; those of a quarantined request fail immediately."""
@@ -106,9 +106,9 @@
             piece = WaitingPiece(
                 order=order,
                 sender=sender,
-                due_at=now + order.left_seconds,
-                aim_at=now + order.aim_left_seconds,
-                give_up_until=now + order.give_up_left_seconds,
+                deadline_at=now + order.left_seconds,
+                objective_at=now + order.aim_left_seconds,
+                abandonable_until=now + order.give_up_left_seconds,
             )
             if self._quarantine.find_held(order.fingerprint) is not None:
                 self._answers.answer(piece, fault="failed")
@@ -119,7 +119,7 @@
     def withdraw(self, sender: str, numbers: Sequence[int]) -> None:
         """Drop queued pieces that their sender no longer needs."""
         for number in numbers:
-            self._queue.withdraw(sender, number)
+            self._queue.cancel(sender, number)
 
     def hand_over(self) -> None:
         """Return queued pieces to their senders, since another entry now owns the pool.
@@ -224,7 +224,7 @@
             now = self._now()
             offer = self._pool_targets.make_offer(None, service.pool, now)
             # pieces_soon is 0 while rate limits delay the next call of every target for long.
-            take = self._queue.take_expired if offer.pieces_soon else self._queue.take_late
+            take = self._queue.take_expired if offer.pieces_within_call else self._queue.take_late
             self._refuse(take(now, offer))
         self._dispatch()
 
@@ -281,7 +281,9 @@
     def _record_throughput(self, call: BatchCall, properties: PoolTraits, seconds: float) -> None:
         """Record the throughput of a call that could have been full."""
         full_seconds = properties.call_seconds + properties.batch * properties.piece_seconds
-        self._pool_targets.throughput.note(len(call.batch), properties.batch, seconds, full_seconds)
+        self._pool_targets.throughput.record_call(
+            len(call.batch), properties.batch, seconds, full_seconds
+        )
 
     def _log_completion(self, call: BatchCall, results: int, seconds: float) -> None:
         _LOG.info(
@@ -327,7 +329,7 @@
         self._metrics.record_out_of_memory(len(pieces))
         if pieces:
             missing = call.free_bytes - computed_bytes
-            call.target.result_memory.note_refused(
+            call.target.result_memory.record_rejection(
                 missing, pieces[0].order.result_bytes, self._now()
             )
 
@@ -375,7 +377,7 @@
             return 0.0
         now = self._now()
         offer = self._pool_targets.make_offer(None, service.pool, now)
-        return self._queue.forecast(now, offer, like)
+        return self._queue.estimate_wait(now, offer, like)
 
     # Targets.
 
--- a/packages/damsonlaned/src/damsonlaned/gateway/_pool_targets.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_pool_targets.py
@@ -4,7 +4,7 @@
 from typing import Final
 
 from damsonlane.backoff import TargetStart
-from damsonlane.pools import Offer, ResultRoom, YieldedWork
+from damsonlane.pools import CallCapacity, ResultMemory, ThroughputEstimate
 from damsonlane.routes import PoolTraits
 from damsonlane.targets import TargetRecord
 from damsonlaned.gateway._rate_limits import ServiceLimits
@@ -47,7 +47,7 @@
         self.start: Final = record.start
         self.address: Final = record.address
         self.data_centre: Final = record.data_centre
-        self.result_memory: Final = ResultRoom(properties.room_bytes, properties.keep_seconds)
+        self.result_memory: Final = ResultMemory(properties.room_bytes, properties.keep_seconds)
         #: Consecutive failed calls.
         self.failures = 0
         #: End of its ejection, by the loop's clock.
@@ -86,7 +86,7 @@
 
     def reads_at_once(self, now: float) -> bool:
         """Return whether it probably reads inputs on arrival and has memory for the results."""
-        return self.is_prompt and not self.result_memory.was_refused_lately(now)
+        return self.is_prompt and not self.result_memory.was_rejected_recently(now)
 
     def wait_seconds(self, now: float) -> float:
         """Return the estimated seconds until its call ends and its rate limit allows the next."""
@@ -100,14 +100,14 @@
             reserved_bytes: bytes of result memory reserved for its results.
             free_at: expected end of the call, by the loop's clock.
         """
-        self.result_memory.announce(reserved_bytes)
+        self.result_memory.reserve(reserved_bytes)
         self._is_busy = True
         self._free_at = free_at
 
     def record_completion(self, reserved_bytes: int, sizes: dict[str, int], now: float) -> None:
         """Record the end of a call, with the sizes of its results by handle."""
         self._is_busy = False
-        self.result_memory.settle(reserved_bytes, sizes, now)
+        self.result_memory.commit(reserved_bytes, sizes, now)
 
     def record_duration_ratio(self, ratio: float, now: float) -> None:
         """Record a call that took ``ratio`` times as long as expected; eject a slow target."""
@@ -142,7 +142,7 @@
         self._find_backoff: Final = find_backoff
         self._targets: dict[str, PoolTarget] = {}
         #: Throughput of the pool while more pieces wait than fit into a call.
-        self.throughput: Final = YieldedWork()
+        self.throughput: Final = ThroughputEstimate()
 
     def update(self, records: Sequence[TargetRecord], properties: PoolTraits) -> None:
         """Apply the registered targets; those that remain keep their state."""
@@ -190,7 +190,9 @@
         ejections = [target.ejected_until - now for target in self._targets.values()]
         return min([*(ejection for ejection in ejections if ejection > 0), REJECTION_PAUSE_SECONDS])
 
-    def make_offer(self, target: PoolTarget | None, properties: PoolTraits, now: float) -> Offer:
+    def make_offer(
+        self, target: PoolTarget | None, properties: PoolTraits, now: float
+    ) -> CallCapacity:
         """Return the capacity that a target and the rest of the pool offer to the queue.
 
         Args:
@@ -200,17 +202,17 @@
         """
         working = [other for other in self._targets.values() if other.is_available(now)]
         gaps = tuple(other.gap_seconds() for other in working)
-        return Offer(
+        return CallCapacity(
             data_centre=target.data_centre if target is not None else "",
-            room=target.result_memory.free_bytes(now) if target is not None else 0,
-            free_in=_find_waits(working, now),
+            result_memory_bytes=target.result_memory.free_bytes(now) if target is not None else 0,
+            seconds_until_free=_find_waits(working, now),
             busy_seconds=tuple(other.wait_seconds(now) for other in working),
             batch=properties.batch,
             call_seconds=properties.call_seconds,
             piece_seconds=properties.piece_seconds,
-            yielded_share=self.throughput.share(),
-            return_seconds=self.find_backoff_seconds(),
-            gap_seconds=gaps if any(gaps) else (),
+            throughput_ratio=self.throughput.ratio(),
+            backoff_seconds=self.find_backoff_seconds(),
+            call_interval_seconds=gaps if any(gaps) else (),
         )
 
 
--- a/packages/damsonlaned/src/damsonlaned/gateway/_stage_orders.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_stage_orders.py
@@ -8,7 +8,7 @@
 
 from damsonlane.admission import FirstEventForecast
 from damsonlane.placement import InputLocation
-from damsonlane.pools import PieceOrder, StageStart
+from damsonlane.pools import PieceOrder, ReadyStage
 from damsonlane.routes import Stage
 from damsonlaned.gateway._call import Call
 from damsonlaned.gateway._pool_client import PoolClient
@@ -61,7 +61,7 @@
         wait = self._client.wait_seconds(stage.service, call.rank)
         return _typical_seconds(call, stage) + wait
 
-    def find_home(self, attempt: StageAttempt, start: StageStart) -> str:
+    def find_home(self, attempt: StageAttempt, start: ReadyStage) -> str:
         """Return the preferred data centre of a stage, or an empty string.
 
         Only a stage with large inputs has one. Others may run anywhere, so that no target
@@ -82,7 +82,7 @@
         return tuple(InputLocation(data_centre=name, size=size) for name, size in sizes.items())
 
     def make_order(
-        self, attempt: StageAttempt, start: StageStart, piece: int, home: str
+        self, attempt: StageAttempt, start: ReadyStage, piece: int, home: str
     ) -> PieceOrder:
         """Return the order for one piece; the client assigns its number.
 
@@ -120,10 +120,10 @@
             home=home,
         )
 
-    def _estimate_after(self, attempt: StageAttempt, start: StageStart) -> _RemainingTime:
+    def _estimate_after(self, attempt: StageAttempt, start: ReadyStage) -> _RemainingTime:
         """Return the estimated time that a request needs after a stage."""
         call = attempt.call
-        chain = attempt.plan.depth_after(start.index)
+        chain = attempt.plan.longest_chain_after(start.index)
         return _RemainingTime(
             stages=sum(_typical_seconds(call, stage) for stage in chain),
             queues=sum(self._client.wait_seconds(stage.service, call.rank) for stage in chain),
@@ -154,7 +154,7 @@
     return call.arrived_at + GIVE_UP_SHARE * (call.due_at - call.arrived_at)
 
 
-def _count_input_bytes(call: Call, start: StageStart) -> int:
+def _count_input_bytes(call: Call, start: ReadyStage) -> int:
     """Return the bytes of inputs that one piece of a stage reads."""
     return sum(
         call.request.pieces[earlier] * call.route.stages[earlier].result_bytes
--- a/packages/damsonlaned/src/damsonlaned/gateway/_stage_work.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_stage_work.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 
 from damsonlane.placement import InputLocation
-from damsonlane.pools import StagePlan, StageStart
+from damsonlane.pools import ReadyStage, StageProgress
 from damsonlaned.gateway._call import Call
 
 
@@ -37,20 +37,20 @@
     #: The request.
     call: Call
     #: Tracks which stages are done.
-    plan: StagePlan
+    plan: StageProgress
     #: The service that computed each held result, by the result's handle.
     held: dict[str, str] = field(default_factory=dict)
 
-    def record(self, start: StageStart, piece: int, handle: str) -> None:
+    def record(self, start: ReadyStage, piece: int, handle: str) -> None:
         """Record the result of a piece."""
-        self.plan.note(start.index, piece, handle)
+        self.plan.record_result(start.index, piece, handle)
         self.held[handle] = start.stage.service
 
     def pop_spent(self, stage: int) -> StageResults:
         """Remove and return the held results that no stage needs after the given one."""
         spent = {
             handle: self.held.pop(handle)
-            for handle in self.plan.spent_inputs(stage)
+            for handle in self.plan.releasable_inputs(stage)
             if handle in self.held
         }
         return _collect(spent)
--- a/packages/damsonlaned/src/damsonlaned/gateway/_stages.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_stages.py
@@ -9,7 +9,7 @@
 from typing import Final, NoReturn
 
 from damsonlane.errors import DamsonlaneError
-from damsonlane.pools import PieceFault, PieceResult, StagePlan, StageStart
+from damsonlane.pools import PieceFault, PieceResult, ReadyStage, StageProgress
 from damsonlaned.gateway._call import Call
 from damsonlaned.gateway._pool_client import PoolClient
 from damsonlaned.gateway._stage_orders import StageOrders
@@ -88,8 +88,8 @@
         pieces = call.request.pieces
         if len(pieces) != len(call.route.stages):
             return 0.0
-        plan = StagePlan(call.route.stages, pieces)
-        return plan.longest_seconds(partial(self._orders.estimate_seconds, call))
+        plan = StageProgress(call.route.stages, pieces)
+        return plan.critical_path_seconds(partial(self._orders.estimate_seconds, call))
 
     def note_first_event(self, call: Call, seconds: float) -> None:
         """Record the seconds from sending a request to the first event of its answer."""
@@ -109,7 +109,7 @@
 
     async def _run_once(self, call: Call) -> StageResults:
         """Run all stages in one attempt; free their results if it fails."""
-        plan = StagePlan(call.route.stages, call.request.pieces)
+        plan = StageProgress(call.route.stages, call.request.pieces)
         attempt = StageAttempt(call=call, plan=plan)
         tasks: set[asyncio.Task[int]] = set()
         try:
@@ -128,7 +128,7 @@
         places = self._orders.find_input_places(attempt)
         return replace(attempt.collect(), inputs=plan.final_inputs(), places=places)
 
-    async def _run_stage(self, attempt: StageAttempt, start: StageStart) -> int:
+    async def _run_stage(self, attempt: StageAttempt, start: ReadyStage) -> int:
         """Run one stage and return its index."""
         call = attempt.call
         home = self._orders.find_home(attempt, start)
@@ -152,13 +152,13 @@
         )
         return start.index
 
-    def _handle_read(self, attempt: StageAttempt, start: StageStart, piece: int) -> None:
+    def _handle_read(self, attempt: StageAttempt, start: ReadyStage, piece: int) -> None:
         """Free inputs that every piece has read, if other pieces wait for result memory.
 
         If none wait, the inputs are kept until the pieces are computed, so that a piece
         that fails can be retried with them.
         """
-        attempt.plan.note_read(start.index, piece)
+        attempt.plan.record_inputs_read(start.index, piece)
         stages = attempt.call.route.stages
         if any(self._client.has_queue(stages[earlier].service) for earlier in start.stage.after):
             self.free(attempt.pop_spent(start.index))
@@ -166,7 +166,7 @@
     async def _collect_results(
         self,
         attempt: StageAttempt,
-        start: StageStart,
+        start: ReadyStage,
         futures: "Sequence[asyncio.Future[PieceResult]]",
     ) -> None:
         """Wait for all pieces of a stage, or for the first that fails."""
@@ -182,7 +182,7 @@
     def _settle_remaining(
         self,
         attempt: StageAttempt,
-        start: StageStart,
+        start: ReadyStage,
         futures: "Sequence[asyncio.Future[PieceResult]]",
     ) -> None:
         """Withdraw unfinished pieces, and record the results of finished ones so they are freed."""
@@ -192,7 +192,7 @@
             elif not future.cancelled() and future.result().handle:
                 attempt.held[future.result().handle] = start.stage.service
 
-    def _raise_fault(self, start: StageStart, result: PieceResult) -> NoReturn:
+    def _raise_fault(self, start: ReadyStage, result: PieceResult) -> NoReturn:
         """Raise the error for a piece that has no result."""
         if result.fault == "lost-input":
             raise _LostInputError
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_pool_targets.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_pool_targets.py
@@ -3,7 +3,7 @@
 import unittest
 from collections.abc import Callable
 
-from damsonlane.pools._room import UNKNOWN_SECONDS
+from damsonlane.pools._result_memory import UNKNOWN_SECONDS
 from damsonlane.routes import PoolTraits
 from damsonlane.targets import TargetRecord
 from damsonlaned.gateway._pool_targets import PoolTarget
@@ -61,7 +61,7 @@
     def test_target_recently_out_of_result_memory_is_not_expected_to_read_at_once(self) -> None:
         target = PoolTarget(_RECORD, _TRAITS)
         target.record_duration_ratio(1.0, 0.0)
-        target.result_memory.note_refused(10, 10, 0.0)
+        target.result_memory.record_rejection(10, 10, 0.0)
         self.assertFalse(target.reads_at_once(0.1))
         self.assertTrue(target.reads_at_once(UNKNOWN_SECONDS))
 
