--- a/packages/damsonlane/src/damsonlane/admission/_caller_wait.py
+++ b/packages/damsonlane/src/damsonlane/admission/_caller_wait.py
@@ -21,13 +21,13 @@
 MIN_SEEN: Final = 8
 
 
-class CallerAges:
+class CallerWaitEstimator:
     """Recent deadlines of each route, from which earlier waits of callers are estimated."""
 
     def __init__(self) -> None:
         self._deadlines: dict[str, deque[int]] = {}
 
-    def find_waited(self, route: str, deadline_seconds: float | None) -> float:
+    def estimate_seconds(self, route: str, deadline_seconds: float | None) -> float:
         """Return the estimated seconds since the first attempt of a caller; 0 if unknown.
 
         Args:
--- a/packages/damsonlane/src/damsonlane/admission/_first_event.py
+++ b/packages/damsonlane/src/damsonlane/admission/_first_event.py
@@ -16,7 +16,7 @@
 #: Largest share of the latency objective that is reserved for the first event.  The longest
 #: prompts take more; if all of that were reserved, they would count as late on arrival and be
 #: starved.
-LARGEST_SHARE: Final = 0.4
+MAX_OBJECTIVE_SHARE: Final = 0.4
 #: Minimum length of the prompts that are measured, in tokens.
 MIN_TOKENS: Final = 500
 
@@ -39,9 +39,9 @@
             tokens: length of the prompt.
             aim_seconds: latency objective of the first event, in seconds.
         """
-        return min(self._expect(tokens), LARGEST_SHARE * aim_seconds)
+        return min(self._expect(tokens), MAX_OBJECTIVE_SHARE * aim_seconds)
 
-    def note(self, tokens: int, seconds: float) -> None:
+    def record(self, tokens: int, seconds: float) -> None:
         """Record a first event.
 
         Args:
--- a/packages/damsonlane/src/damsonlane/admission/_forecast.py
+++ b/packages/damsonlane/src/damsonlane/admission/_forecast.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Work:
+class WorkClass:
     """A class of work whose requests take similar times."""
 
     #: Organisation of the requests.
@@ -46,7 +46,7 @@
     """
 
     def __init__(self) -> None:
-        self._usual: dict[Work, float] = {}
+        self._usual: dict[WorkClass, float] = {}
         self._mean_usual = 0.0
         self._in_flight = 0
         self._completions: deque[float] = deque()
@@ -57,7 +57,7 @@
         """Count a request as sent."""
         self._in_flight += 1
 
-    def finish(self, work: Work, now: float, seconds: float | None) -> float:
+    def finish(self, work: WorkClass, now: float, seconds: float | None) -> float:
         """Count a request as completed.
 
         Args:
@@ -80,7 +80,7 @@
         self._ratio_at = now
         return sample / max(1.0, ratio)
 
-    def predict(self, work: Work, now: float) -> float:
+    def predict(self, work: WorkClass, now: float) -> float:
         """Return the predicted seconds of one more request; 0 before the first sample."""
         usual = self._usual.get(work, 0.0)
         ratio = self._recent_ratio(now)
@@ -91,7 +91,7 @@
         share = usual / self._mean_usual if self._mean_usual else 1.0
         return max(usual, share * (self._in_flight + 1) / rate)
 
-    def _update_usual(self, work: Work, seconds: float) -> float:
+    def _update_usual(self, work: WorkClass, seconds: float) -> float:
         usual = self._usual.get(work, seconds)
         weight = WEIGHT_DOWN if seconds < usual else WEIGHT_UP
         usual += weight * (seconds - usual)
--- a/packages/damsonlane/src/damsonlane/admission/_limits.py
+++ b/packages/damsonlane/src/damsonlane/admission/_limits.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Entrant:
+class AdmissionRequest:
     """A request for admission, with the settings that apply to it."""
 
     #: The organisation.
@@ -46,7 +46,7 @@
     def __init__(self) -> None:
         self._lanes: dict[Lane, dict[str, _Usage]] = {}
 
-    def try_enter(self, entrant: Entrant, now: float) -> bool:
+    def try_acquire(self, entrant: AdmissionRequest, now: float) -> bool:
         """Admit a request if the limits allow it; return whether.
 
         Each admitted request must be followed by a call of `leave`.
@@ -66,7 +66,7 @@
         usage.in_flight += 1
         return True
 
-    def leave(self, entrant: Entrant) -> None:
+    def release(self, entrant: AdmissionRequest) -> None:
         """Count an admitted request as completed."""
         self._lanes[entrant.lane][entrant.organisation].in_flight -= 1
 
--- a/packages/damsonlane/src/damsonlane/admission/tests/test_caller_wait.py
+++ b/packages/damsonlane/src/damsonlane/admission/tests/test_caller_wait.py
@@ -3,16 +3,18 @@
 import random
 import unittest
 
-from damsonlane.admission import CallerAges
+from damsonlane.admission import CallerWaitEstimator
 from damsonlane.admission._caller_wait import MIN_SEEN, WINDOW_SIZE
 
 
 class CallerWaitEstimatorTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.estimator = CallerAges()
+        self.estimator = CallerWaitEstimator()
 
     def estimate(self, *deadlines: float, route: str = "r") -> list[float]:
-        return [round(self.estimator.find_waited(route, deadline), 2) for deadline in deadlines]
+        return [
+            round(self.estimator.estimate_seconds(route, deadline), 2) for deadline in deadlines
+        ]
 
     def test_a_retry_has_waited_since_the_first_attempt(self) -> None:
         self.estimate(*[6.0] * MIN_SEEN)
@@ -43,7 +45,7 @@
         self.assertEqual(self.estimate(3.0, 2.0), [0.0, 0.99])
 
     def test_a_request_without_a_deadline_has_not_waited(self) -> None:
-        self.assertEqual(self.estimator.find_waited("r", None), 0.0)
+        self.assertEqual(self.estimator.estimate_seconds("r", None), 0.0)
 
 
 if __name__ == "__main__":
--- a/packages/damsonlane/src/damsonlane/admission/tests/test_limits.py
+++ b/packages/damsonlane/src/damsonlane/admission/tests/test_limits.py
@@ -5,19 +5,23 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from damsonlane.admission import Entrant, InFlightLimits, ServiceMeter, Work
+from damsonlane.admission import AdmissionRequest, InFlightLimits, ServiceMeter, WorkClass
 
-_WORK = Work(organisation="o", pipeline="p", stage="s")
+_WORK = WorkClass(organisation="o", pipeline="p", stage="s")
 
 
-def _entrant(name: str, weight: float = 1.0, limit: int = 12, own_limit: int = 0) -> Entrant:
-    return Entrant(
+def _entrant(
+    name: str, weight: float = 1.0, limit: int = 12, own_limit: int = 0
+) -> AdmissionRequest:
+    return AdmissionRequest(
         organisation=name, lane="standard", weight=weight, limit=limit, own_limit=own_limit
     )
 
 
-def _fill(limits: InFlightLimits, entrant: Entrant, attempts: int, now: float = 0.0) -> int:
-    return sum(limits.try_enter(entrant, now) for _ in range(attempts))
+def _fill(
+    limits: InFlightLimits, entrant: AdmissionRequest, attempts: int, now: float = 0.0
+) -> int:
+    return sum(limits.try_acquire(entrant, now) for _ in range(attempts))
 
 
 class InFlightLimitsTest(unittest.TestCase):
@@ -33,7 +37,7 @@
     def test_lanes_are_independent(self) -> None:
         limits = InFlightLimits()
         _fill(limits, _entrant("a"), 20)
-        lookup = Entrant(organisation="a", lane="lookup", weight=1, limit=3)
+        lookup = AdmissionRequest(organisation="a", lane="lookup", weight=1, limit=3)
         self.assertEqual(_fill(limits, lookup, 9), 3)
 
     def test_the_limit_of_an_organisation_applies_over_all_lanes(self) -> None:
@@ -43,7 +47,7 @@
         limits = InFlightLimits()
         entrant = _entrant("a")
         _fill(limits, entrant, 20)
-        limits.leave(entrant)
+        limits.release(entrant)
         self.assertEqual((_fill(limits, entrant, 5), limits.in_flight()), (1, 12))
 
     @settings(derandomize=True, database=None, max_examples=200)
@@ -59,10 +63,10 @@
             entrant = _entrant(name, weight=weights[name])
             if not enters:
                 if inside[name]:
-                    limits.leave(entrant)
+                    limits.release(entrant)
                     inside[name] -= 1
                 continue
-            is_inside = limits.try_enter(entrant, now)
+            is_inside = limits.try_acquire(entrant, now)
             if inside[name] < int(12 * weights[name] / 6) and sum(inside.values()) < 24:
                 self.assertTrue(is_inside, "an organisation within its least share was refused")
             inside[name] += is_inside
--- a/packages/damsonlane/src/damsonlane/requests/tests/session.py
+++ b/packages/damsonlane/src/damsonlane/requests/tests/session.py
@@ -7,7 +7,13 @@
 from dataclasses import asdict, dataclass, field, replace
 from typing import Any
 
-from damsonlane.admission import ADMISSION_SHARE, Entrant, InFlightLimits, ServiceMeter, Work
+from damsonlane.admission import (
+    ADMISSION_SHARE,
+    AdmissionRequest,
+    InFlightLimits,
+    ServiceMeter,
+    WorkClass,
+)
 from damsonlane.costs import CostBook, RecordCosts
 from damsonlane.ledger import JobCommand, JobKey, JobReply, Ledger, read_holder
 from damsonlane.requests import (
@@ -149,14 +155,16 @@
             job=job,
             digest=asked.text,
         )
-        entrant = Entrant(organisation=asked.organisation, lane=asked.lane, weight=1.0, limit=8)
+        entrant = AdmissionRequest(
+            organisation=asked.organisation, lane=asked.lane, weight=1.0, limit=8
+        )
         needed = sum(
             entry.meters[stage.service].predict(_work(request, stage.name), now)
             for stage in request.stages
         )
         if needed > ADMISSION_SHARE * asked.deadline:
             self._record(now, asked.entry, "refused at admission", {"request": request.request})
-        elif not entry.limits.try_enter(entrant, now):
+        elif not entry.limits.try_acquire(entrant, now):
             self._record(now, asked.entry, "lane full", {"request": request.request})
         else:
             run = RequestRun(
@@ -243,7 +251,7 @@
 
     def end(self, entry: str, handling: "_Handling", now: float, effect: End) -> None:
         """Record an outcome and its cost."""
-        self._entries[entry].limits.leave(handling.entrant)
+        self._entries[entry].limits.release(handling.entrant)
         lines = effect.billed.costs
         self._costs.record(RecordCosts(sender="s", batch=next(self._batches), lines=lines))
         ending = _describe(effect.billed.ending)
@@ -254,7 +262,12 @@
     """One request in progress."""
 
     def __init__(
-        self, session: Session, entry: str, request: Request, entrant: Entrant, run: RequestRun
+        self,
+        session: Session,
+        entry: str,
+        request: Request,
+        entrant: AdmissionRequest,
+        run: RequestRun,
     ) -> None:
         self.session, self.entry, self.request = session, entry, request
         self.entrant, self.run = entrant, run
@@ -294,8 +307,8 @@
         self._schedule(answered_at, take)
 
 
-def _work(request: Request, stage: str) -> Work:
-    return Work(organisation=request.organisation, pipeline=request.pipeline, stage=stage)
+def _work(request: Request, stage: str) -> WorkClass:
+    return WorkClass(organisation=request.organisation, pipeline=request.pipeline, stage=stage)
 
 
 def _describe(ending: Ending) -> dict[str, Any]:
--- a/packages/damsonlaned/src/damsonlaned/entry/_dispatcher.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_dispatcher.py
@@ -7,7 +7,7 @@
 from functools import partial
 from typing import Final
 
-from damsonlane.admission import ServiceMeter, Work
+from damsonlane.admission import ServiceMeter, WorkClass
 from damsonlane.backoff import TargetStart
 from damsonlane.quarantine import BrokenRun
 from damsonlane.requests import AttemptResult, Request, Send
@@ -75,7 +75,7 @@
         with self._lock:
             self._apply_settings(settings)
             for stage in request.stages[first:]:
-                work = Work(
+                work = WorkClass(
                     organisation=request.organisation,
                     pipeline=request.pipeline,
                     stage=stage.name,
@@ -255,7 +255,7 @@
         report: LoadReport | None = reply.load_report if reply else None
         with self._lock:
             table = self._tables[send.stage.service]
-            work = Work(
+            work = WorkClass(
                 organisation=send.key.organisation, pipeline=pipeline, stage=send.stage.name
             )
             is_answered = reply is not None and reply.result.outcome == "answered"
--- a/packages/damsonlaned/src/damsonlaned/entry/_request_parser.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_request_parser.py
@@ -11,7 +11,7 @@
 from http import HTTPStatus
 from typing import Any, Final
 
-from damsonlane.admission import Entrant
+from damsonlane.admission import AdmissionRequest
 from damsonlane.ledger import JobKey
 from damsonlane.requests import Request, Run, StagePlan
 from damsonlane.settings import EffectivePolicy, Pipeline, Tree
@@ -51,7 +51,7 @@
     #: The request.
     request: Request
     #: Its properties for admission control.
-    entrant: Entrant
+    entrant: AdmissionRequest
     #: Whether the caller requested an event stream.
     is_streaming: bool
     #: The settings in force on its arrival, which apply until it completes.
@@ -105,7 +105,7 @@
         digest=hashlib.sha256(f"{name}\0{text}".encode()).hexdigest(),
         is_first_send=str(environment.get(RESEND_HEADER, "")).strip().lower() == "no",
     )
-    entrant = Entrant(
+    entrant = AdmissionRequest(
         organisation=organisation,
         lane=policy.lane,
         weight=policy.weight,
--- a/packages/damsonlaned/src/damsonlaned/gateway/_caller_service.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_caller_service.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from damsonlane.admission import CallerAges
+from damsonlane.admission import CallerWaitEstimator
 from damsonlane.quarantine import find_fingerprint
 from damsonlane.routes import Organisation, Route, RouteTable, Service
 from damsonlaned.dialects import BadRequestError, CallerRequest, Dialect, Refusal
@@ -74,7 +74,7 @@
     def __init__(self, dependencies: HandlerDependencies) -> None:
         self._dependencies: Final = dependencies
         self._in_flight = 0
-        self._ages: Final = CallerAges()
+        self._ages: Final = CallerWaitEstimator()
         self._has_routes: Final = asyncio.Event()
         dependencies.view.on_change(self._signal_routes)
         self._started_at: Final = asyncio.get_running_loop().time()
@@ -179,7 +179,7 @@
             arrived_at=arrived_at,
             due_at=arrived_at + seconds - ANSWER_MARGIN_SECONDS,
             fingerprint=_find_fingerprint(request, organisation),
-            waited_seconds=self._ages.find_waited(route.name, request.deadline_seconds),
+            waited_seconds=self._ages.estimate_seconds(route.name, request.deadline_seconds),
         )
 
     def _find_table(self) -> RouteTable:
--- a/packages/damsonlaned/src/damsonlaned/gateway/_stage_orders.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_stage_orders.py
@@ -54,7 +54,7 @@
 
     def record_first_event(self, call: Call, seconds: float) -> None:
         """Record the seconds from sending a request to the first event of its answer."""
-        self._find_forecast(call).note(call.request.tokens_in, seconds)
+        self._find_forecast(call).record(call.request.tokens_in, seconds)
 
     def estimate_seconds(self, call: Call, stage: Stage) -> float:
         """Return the estimated seconds of a stage, including the last reported queueing time."""
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_gateway.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_gateway.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, replace
 from unittest import mock
 
-from damsonlane.admission._first_event import LARGEST_SHARE
+from damsonlane.admission._first_event import MAX_OBJECTIVE_SHARE
 from damsonlane.cluster import PackedDocument
 from damsonlane.codec import encode_bytes
 from damsonlane.membership import BoxRecord
@@ -293,7 +293,7 @@
         self.assertTrue(response.is_whole())
         self.assertEqual(response.data.count(b"data: token"), 4)
         # The first order has the objective of 0.2 s; the second has until the deadline.
-        self.assertLessEqual(aim_seconds[0], 0.2 * (1 - LARGEST_SHARE))
+        self.assertLessEqual(aim_seconds[0], 0.2 * (1 - MAX_OBJECTIVE_SHARE))
         self.assertGreater(aim_seconds[1], 0.5)
 
     async def test_stages_that_fail_after_a_broken_run_give_no_guarantee(self) -> None:
