--- a/packages/damsonlane/src/damsonlane/backoff/_incarnation.py
+++ b/packages/damsonlane/src/damsonlane/backoff/_incarnation.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class TargetStart:
+class TargetIncarnation:
     """One incarnation of a target; what it announced does not apply to the next one."""
 
     #: Name of the target.
--- a/packages/damsonlane/src/damsonlane/backoff/_jitter.py
+++ b/packages/damsonlane/src/damsonlane/backoff/_jitter.py
@@ -10,7 +10,7 @@
 MAX_JITTER_SHARE: Final = 0.25
 
 
-def find_spread_seconds(seconds: float, boxes: int, randomness: random.Random) -> float:
+def draw_jitter_seconds(seconds: float, boxes: int, randomness: random.Random) -> float:
     """Draw the seconds that a box adds to a back-off.
 
     Args:
--- a/packages/damsonlane/src/damsonlane/backoff/_table.py
+++ b/packages/damsonlane/src/damsonlane/backoff/_table.py
@@ -4,7 +4,7 @@
 from collections.abc import Collection
 from typing import Final
 
-from damsonlane.backoff._incarnation import TargetStart
+from damsonlane.backoff._incarnation import TargetIncarnation
 
 #: Longest back-off that is accepted, in seconds.  A longer one is probably a mistake, and would
 #: make the target unusable for this box until it restarts.
@@ -13,7 +13,7 @@
 MAX_DRAINING: Final = 2_048
 
 
-class BackoffBook:
+class BackoffTable:
     """Back-off and draining of targets, by incarnation.
 
     There is one table per box, not per connection, request or service: everything that sends to
@@ -21,11 +21,11 @@
     """
 
     def __init__(self) -> None:
-        self._until: dict[TargetStart, float] = {}
-        self._draining: dict[TargetStart, None] = {}
+        self._until: dict[TargetIncarnation, float] = {}
+        self._draining: dict[TargetIncarnation, None] = {}
 
-    def note(
-        self, incarnation: TargetStart, seconds: float, now: float, jitter: float = 0.0
+    def record(
+        self, incarnation: TargetIncarnation, seconds: float, now: float, jitter: float = 0.0
     ) -> None:
         """Record a back-off that a target requested.
 
@@ -40,7 +40,7 @@
         until = now + min(seconds, LONGEST_BACKOFF_SECONDS) + jitter
         self._until[incarnation] = max(until, self._until.get(incarnation, until))
 
-    def note_leaving(self, incarnation: TargetStart) -> bool:
+    def record_draining(self, incarnation: TargetIncarnation) -> bool:
         """Record that a target is draining, which is final; return whether it was not known yet."""
         is_new = incarnation not in self._draining
         self._draining[incarnation] = None
@@ -52,22 +52,22 @@
         """Return whether no target backs off or is draining."""
         return not self._until and not self._draining
 
-    def list_backing_off(self, now: float) -> set[TargetStart]:
+    def list_backing_off(self, now: float) -> set[TargetIncarnation]:
         """Return the targets that back off at present, including draining ones."""
         backing_off = {incarnation for incarnation, until in self._until.items() if until > now}
         return backing_off | self._draining.keys()
 
-    def is_leaving(self, incarnation: TargetStart) -> bool:
+    def is_draining(self, incarnation: TargetIncarnation) -> bool:
         """Return whether a target announced that it is draining."""
         return incarnation in self._draining
 
-    def seconds_left(self, incarnation: TargetStart, now: float) -> float:
+    def seconds_left(self, incarnation: TargetIncarnation, now: float) -> float:
         """Return the remaining seconds of the back-off of a target; infinite if it is draining."""
         if incarnation in self._draining:
             return math.inf
         return max(0.0, self._until.get(incarnation, now) - now)
 
-    def forget_others(self, known: Collection[TargetStart], now: float) -> None:
+    def prune(self, known: Collection[TargetIncarnation], now: float) -> None:
         """Remove back-offs that are over, and draining targets that may have restarted.
 
         A target that control no longer lists may be listed again by a lagging replica, and its
--- a/packages/damsonlane/src/damsonlane/backoff/tests/test_jitter.py
+++ b/packages/damsonlane/src/damsonlane/backoff/tests/test_jitter.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from damsonlane.backoff import find_spread_seconds
+from damsonlane.backoff import draw_jitter_seconds
 
 #: Interval in which returns count as simultaneous, in seconds.
 INTERVAL = 0.05
@@ -18,7 +18,7 @@
         randomness = random.Random(seed)
         # Boxes receive the back-off within some milliseconds of each other.
         received_at = [randomness.uniform(0.0, 0.005) for _ in range(boxes)]
-        jitter = [find_spread_seconds(seconds, boxes, randomness) for _ in range(boxes)]
+        jitter = [draw_jitter_seconds(seconds, boxes, randomness) for _ in range(boxes)]
         returns = sorted(a + b * has_jitter for a, b in zip(received_at, jitter, strict=True))
         most.append(
             max(sum(first <= one < first + INTERVAL for one in returns) for first in returns)
@@ -39,7 +39,7 @@
         randomness = random.Random(1)
         for seconds in (0.1, 3.0, 600.0):
             for boxes in (1, 8, 350):
-                jitter = find_spread_seconds(seconds, boxes, randomness)
+                jitter = draw_jitter_seconds(seconds, boxes, randomness)
                 self.assertLessEqual(jitter, min(seconds / 4, boxes * 0.02))
 
 
--- a/packages/damsonlane/src/damsonlane/ratelimit/_issuer.py
+++ b/packages/damsonlane/src/damsonlane/ratelimit/_issuer.py
@@ -8,7 +8,7 @@
 from collections.abc import Collection, Sequence
 from typing import Final
 
-from damsonlane.backoff import TargetStart
+from damsonlane.backoff import TargetIncarnation
 from damsonlane.ratelimit._bucket import BURST_SECONDS, RateBucket
 from damsonlane.ratelimit._permits import Permit, PermitOrder
 from damsonlane.ratelimit._table import UNLIMITED_RATE, RateLimitBook
@@ -34,11 +34,11 @@
 
     def __init__(self, book: RateLimitBook) -> None:
         self._book: Final = book
-        self._buckets: dict[TargetStart, RateBucket] = {}
+        self._buckets: dict[TargetIncarnation, RateBucket] = {}
         self._reserved_until: dict[str, float] = {}
         self._admitted_until: dict[str, float] = {}
 
-    def wait_seconds(self, named: TargetStart, share: float, now: float) -> float:
+    def wait_seconds(self, named: TargetIncarnation, share: float, now: float) -> float:
         """Return the seconds until a target may get one more request; 0 if it may now.
 
         Args:
@@ -49,12 +49,12 @@
         bucket = self._find_bucket(named, share, now)
         return bucket.wait_seconds(now) if bucket is not None else 0.0
 
-    def take(self, named: TargetStart, share: float, now: float) -> bool:
+    def take(self, named: TargetIncarnation, share: float, now: float) -> bool:
         """Count a request that this box sends to a target now; return whether it may be sent."""
         bucket = self._find_bucket(named, share, now)
         return bucket is None or bucket.take(now)
 
-    def gap_seconds(self, named: TargetStart, share: float) -> float:
+    def gap_seconds(self, named: TargetIncarnation, share: float) -> float:
         """Return the interval between two permits for a target, in seconds."""
         return 1.0 / self._find_issued_rate(named, share)
 
@@ -82,7 +82,7 @@
         )
         return Permit(number=order.number, wait_seconds=wait, return_seconds=retry_after)
 
-    def forget_others(self, known: Collection[TargetStart]) -> None:
+    def forget_others(self, known: Collection[TargetIncarnation]) -> None:
         """Drop the buckets of all targets but the given ones."""
         for named in self._buckets.keys() - set(known):
             del self._buckets[named]
@@ -105,7 +105,7 @@
     def _reserve_return(
         self,
         service: str,
-        targets: Sequence[TargetStart],
+        targets: Sequence[TargetIncarnation],
         share: float,
         wait: float,
         now: float,
@@ -117,7 +117,7 @@
         self._reserved_until[service] = at + 1.0 / sum(rates)
         return at - now
 
-    def _find_bucket(self, named: TargetStart, share: float, now: float) -> RateBucket | None:
+    def _find_bucket(self, named: TargetIncarnation, share: float, now: float) -> RateBucket | None:
         """Return the token bucket of a target; None where no limit is in effect."""
         if not self._book.is_limited(named):
             self._buckets.pop(named, None)
@@ -129,7 +129,7 @@
         bucket.set_rate(issued, now)
         return bucket
 
-    def _find_issued_rate(self, named: TargetStart, share: float) -> float:
+    def _find_issued_rate(self, named: TargetIncarnation, share: float) -> float:
         """Return the requests a second that this box issues for a target."""
         rate = self._book.find_rate(named)
         return share * max(MIN_RATE, UNLIMITED_RATE if rate is None else rate)
--- a/packages/damsonlane/src/damsonlane/ratelimit/_permits.py
+++ b/packages/damsonlane/src/damsonlane/ratelimit/_permits.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from damsonlane.backoff import TargetStart
+from damsonlane.backoff import TargetIncarnation
 from damsonlane.ratelimit._report import RateWord
 
 
@@ -13,7 +13,7 @@
     #: Chosen by the sender; repeated in the permit.
     number: int
     #: Targets that could get the request, in order of preference.
-    targets: tuple[TargetStart, ...]
+    targets: tuple[TargetIncarnation, ...]
     #: Whether no other target could get it, so that without a permit the caller is refused.
     is_last: bool = False
     #: Whether this asks for admission of a request that is sent later, once its stages are
--- a/packages/damsonlane/src/damsonlane/ratelimit/_registry.py
+++ b/packages/damsonlane/src/damsonlane/ratelimit/_registry.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Final, Literal
 
-from damsonlane.backoff import TargetStart
+from damsonlane.backoff import TargetIncarnation
 from damsonlane.ratelimit._report import RateWord
 from damsonlane.ratelimit._table import RateLimitBook
 
@@ -83,7 +83,7 @@
                 del self._reports[named]
         self._count_change(before)
 
-    def _count_change(self, before: dict[TargetStart, RateWord]) -> bool:
+    def _count_change(self, before: dict[TargetIncarnation, RateWord]) -> bool:
         is_changed = before != self._reports
         self.revision += is_changed
         return is_changed
--- a/packages/damsonlane/src/damsonlane/ratelimit/_report.py
+++ b/packages/damsonlane/src/damsonlane/ratelimit/_report.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from damsonlane.backoff import TargetStart
+from damsonlane.backoff import TargetIncarnation
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -10,7 +10,7 @@
     """The limit that a target announced, as one box reports it to another."""
 
     #: The incarnation that announced it.
-    named: TargetStart
+    named: TargetIncarnation
     #: Requests a second that it accepts from all boxes together; None where it announces no
     #: limit.
     rate: float | None
--- a/packages/damsonlane/src/damsonlane/ratelimit/_table.py
+++ b/packages/damsonlane/src/damsonlane/ratelimit/_table.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from damsonlane.backoff import TargetStart
+from damsonlane.backoff import TargetIncarnation
 from damsonlane.ratelimit._report import RateWord
 
 #: Rate in requests a second at and above which a limit has no effect: no target is sent that
@@ -29,7 +29,7 @@
     """The newest report of each target, from its own answers or from other boxes."""
 
     def __init__(self) -> None:
-        self._limits: dict[TargetStart, _StoredLimit] = {}
+        self._limits: dict[TargetIncarnation, _StoredLimit] = {}
 
     def note(self, report: RateWord, now: float) -> bool:
         """Record what a target announced, unless a newer report is known.
@@ -50,17 +50,17 @@
         self._limits[report.named] = _StoredLimit(rate=report.rate, at=at)
         return known is None or known.rate != report.rate
 
-    def find_rate(self, named: TargetStart) -> float | None:
+    def find_rate(self, named: TargetIncarnation) -> float | None:
         """Return the requests a second that a target accepts; None where it announces no limit."""
         limit = self._limits.get(named)
         return limit.rate if limit is not None else None
 
-    def is_limited(self, named: TargetStart) -> bool:
+    def is_limited(self, named: TargetIncarnation) -> bool:
         """Return whether a target announced a limit that has an effect."""
         rate = self.find_rate(named)
         return rate is not None and rate < UNLIMITED_RATE
 
-    def has_report(self, named: TargetStart) -> bool:
+    def has_report(self, named: TargetIncarnation) -> bool:
         """Return whether a target is known to have announced or ended a limit."""
         return named in self._limits
 
@@ -76,14 +76,14 @@
             if limit.rate is not None
         )
 
-    def find_word(self, named: TargetStart, now: float) -> RateWord:
+    def find_word(self, named: TargetIncarnation, now: float) -> RateWord:
         """Return the limit of a target, as reported to other boxes."""
         limit = self._limits.get(named)
         if limit is None:
             return RateWord(named=named, rate=None)
         return RateWord(named=named, rate=limit.rate, age=max(0.0, now - limit.at))
 
-    def forget_others(self, known: Collection[TargetStart], now: float) -> None:
+    def forget_others(self, known: Collection[TargetIncarnation], now: float) -> None:
         """Drop incarnations that control no longer lists, and limits that ended long ago.
 
         Args:
--- a/packages/damsonlane/src/damsonlane/ratelimit/tests/replay.py
+++ b/packages/damsonlane/src/damsonlane/ratelimit/tests/replay.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-from damsonlane.backoff import TargetStart
+from damsonlane.backoff import TargetIncarnation
 from damsonlane.ratelimit import (
     SECOND_SHARE,
     PermitIssuer,
@@ -23,7 +23,7 @@
 )
 
 #: The target.
-TARGET: Final = TargetStart(target="t", address="127.0.0.1:1")
+TARGET: Final = TargetIncarnation(target="t", address="127.0.0.1:1")
 #: Latency of a message between two boxes, in seconds.
 LATENCY_SECONDS: Final = 0.0015
 #: Window over which requests are counted, and what a target tolerates in it: a multiple of its
--- a/packages/damsonlane/src/damsonlane/ratelimit/tests/test_issuer.py
+++ b/packages/damsonlane/src/damsonlane/ratelimit/tests/test_issuer.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from damsonlane.backoff import TargetStart
+from damsonlane.backoff import TargetIncarnation
 from damsonlane.ratelimit import (
     MIN_RATE,
     SECOND_SHARE,
@@ -19,8 +19,8 @@
     RateWord,
 )
 
-DESK = TargetStart(target="d1", address="127.0.0.1:1")
-OTHER = TargetStart(target="d2", address="127.0.0.1:2")
+DESK = TargetIncarnation(target="d1", address="127.0.0.1:1")
+OTHER = TargetIncarnation(target="d2", address="127.0.0.1:2")
 
 
 class RateBucketTest(unittest.TestCase):
@@ -54,11 +54,13 @@
         self.book = RateLimitBook()
         self.issuer = PermitIssuer(self.book)
 
-    def announce(self, rate: float | None, now: float = 0.0, named: TargetStart = DESK) -> None:
+    def announce(
+        self, rate: float | None, now: float = 0.0, named: TargetIncarnation = DESK
+    ) -> None:
         self.book.note(RateWord(named=named, rate=rate), now)
         self.issuer.wait_seconds(named, 1.0, now)
 
-    def count(self, times: Sequence[float], named: TargetStart = DESK) -> int:
+    def count(self, times: Sequence[float], named: TargetIncarnation = DESK) -> int:
         return sum(self.issuer.take(named, 1.0, at) for at in times)
 
     def test_rates_below_the_minimum_and_above_the_maximum(self) -> None:
--- a/packages/damsonlane/src/damsonlane/ratelimit/tests/test_registry.py
+++ b/packages/damsonlane/src/damsonlane/ratelimit/tests/test_registry.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from damsonlane.backoff import TargetStart
+from damsonlane.backoff import TargetIncarnation
 from damsonlane.cluster import ClusterState, decode_command, encode_command
 from damsonlane.ratelimit import (
     NoteRateLimits,
@@ -13,8 +13,8 @@
 )
 from damsonlane.targets import RegisterTarget, RemoveTarget, TargetRecord
 
-DESK = TargetStart(target="d1", address="127.0.0.1:1", start=5)
-PIPELINE = TargetStart(target="encode/d1", address="127.0.0.1:1")
+DESK = TargetIncarnation(target="d1", address="127.0.0.1:1", start=5)
+PIPELINE = TargetIncarnation(target="encode/d1", address="127.0.0.1:1")
 RECORD = TargetRecord(
     target="d1",
     service="desk",
@@ -27,7 +27,7 @@
 )
 
 
-def make_command(*words: tuple[TargetStart, float | None]) -> NoteRateLimits:
+def make_command(*words: tuple[TargetIncarnation, float | None]) -> NoteRateLimits:
     return NoteRateLimits(words=tuple(RateWord(named=named, rate=rate) for named, rate in words))
 
 
--- a/packages/damsonlane/src/damsonlane/ratelimit/tests/test_table.py
+++ b/packages/damsonlane/src/damsonlane/ratelimit/tests/test_table.py
@@ -3,10 +3,10 @@
 import unittest
 from dataclasses import replace
 
-from damsonlane.backoff import TargetStart
+from damsonlane.backoff import TargetIncarnation
 from damsonlane.ratelimit import RateLimitBook, RateWord
 
-DESK = TargetStart(target="d1", address="127.0.0.1:1", start=5)
+DESK = TargetIncarnation(target="d1", address="127.0.0.1:1", start=5)
 
 
 class RateLimitBookTest(unittest.TestCase):
--- a/packages/damsonlaned/src/damsonlaned/control/tests/test_rate_limits.py
+++ b/packages/damsonlaned/src/damsonlaned/control/tests/test_rate_limits.py
@@ -1,11 +1,11 @@
 """Rate limits at control: replication, and permits from the leader."""
 
-from damsonlane.backoff import TargetStart
+from damsonlane.backoff import TargetIncarnation
 from damsonlane.ratelimit import Permit, PermitOrder, RateWord
 from damsonlane_rpc import PermitBatchRequest
 from damsonlaned.control.tests.boxes import TEST_TIMEOUT_SECONDS, Box, GroupCase
 
-TARGET = TargetStart(target="encode/t1", address="127.0.0.1:9")
+TARGET = TargetIncarnation(target="encode/t1", address="127.0.0.1:9")
 #: Requests a second; so low that no test lasts until the next permit.
 RATE = 0.1
 
--- a/packages/damsonlaned/src/damsonlaned/entry/_dispatcher.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_dispatcher.py
@@ -8,7 +8,7 @@
 from typing import Final
 
 from damsonlane.admission import ServiceMeter, WorkClass
-from damsonlane.backoff import TargetStart
+from damsonlane.backoff import TargetIncarnation
 from damsonlane.quarantine import BrokenRun
 from damsonlane.requests import AttemptResult, Request, Send
 from damsonlane.routing import Choice, Health, LoadReport, Origin, Standing, TargetBook
@@ -192,7 +192,7 @@
         """Return the targets that may get requests, rate limits apart."""
         return set(self._tables[service].standings()) - self._list_unavailable(service)
 
-    def _list_rate_limited(self, service: str) -> dict[str, TargetStart]:
+    def _list_rate_limited(self, service: str) -> dict[str, TargetIncarnation]:
         """Return the targets that may get requests and have a rate limit."""
         unavailable = self._list_unavailable(service)
         locations = {
--- a/packages/damsonlaned/src/damsonlaned/entry/_rate_limited_targets.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_rate_limited_targets.py
@@ -5,7 +5,7 @@
 from collections.abc import Collection, Mapping
 from typing import Final, Protocol
 
-from damsonlane.backoff import TargetStart
+from damsonlane.backoff import TargetIncarnation
 from damsonlane.ratelimit import (
     Permit,
     PermitOrder,
@@ -57,7 +57,7 @@
         self._source: Final = source
         self._table: Final = RateLimitBook()
         self._listed = RateLimitList(revision=-1)
-        self._exhausted_until: dict[TargetStart, float] = {}
+        self._exhausted_until: dict[TargetIncarnation, float] = {}
         self._lock: Final = threading.Lock()
 
     def record(
@@ -89,7 +89,7 @@
 
     def list_rate_limited(
         self, service: str, locations: Mapping[str, Standing]
-    ) -> dict[str, TargetStart]:
+    ) -> dict[str, TargetIncarnation]:
         """Return those of some targets of a service that have a rate limit, by name."""
         with self._lock:
             if self._table.is_empty():
@@ -104,7 +104,7 @@
                 if self._table.is_limited(incarnation)
             }
 
-    def list_exhausted(self, rate_limited: Mapping[str, TargetStart]) -> set[str]:
+    def list_exhausted(self, rate_limited: Mapping[str, TargetIncarnation]) -> set[str]:
         """Return the targets whose limit was exhausted when this box last requested a permit."""
         now = read_clock()
         with self._lock:
@@ -114,7 +114,7 @@
                 if self._exhausted_until.get(incarnation, 0) > now
             }
 
-    def find_wait_seconds(self, rate_limited: Collection[TargetStart]) -> float:
+    def find_wait_seconds(self, rate_limited: Collection[TargetIncarnation]) -> float:
         """Return the seconds until a limit of some targets allows a request; 0 if not known."""
         now = read_clock()
         with self._lock:
@@ -124,7 +124,7 @@
         return max(0.0, min(waits, default=0.0))
 
     def request_permit(
-        self, service: str, targets: tuple[TargetStart, ...], *, is_last: bool
+        self, service: str, targets: tuple[TargetIncarnation, ...], *, is_last: bool
     ) -> Permit:
         """Request a permit to send one request to one of some targets.
 
@@ -167,6 +167,6 @@
         return is_change
 
 
-def make_incarnation(service: str, target: str, address: str) -> TargetStart:
+def make_incarnation(service: str, target: str, address: str) -> TargetIncarnation:
     """Return the incarnation by which all boxes identify a pipeline's target, without its start."""
-    return TargetStart(target=f"{service}/{target}", address=address)
+    return TargetIncarnation(target=f"{service}/{target}", address=address)
--- a/packages/damsonlaned/src/damsonlaned/entry/_target_backoff.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_target_backoff.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from typing import Final
 
-from damsonlane.backoff import BackoffBook, TargetStart, find_spread_seconds
+from damsonlane.backoff import BackoffTable, TargetIncarnation, draw_jitter_seconds
 from damsonlane.routing import Standing
 from damsonlaned.clock import read_clock
 
@@ -17,7 +17,7 @@
     """Records for how long targets back off; safe for use by many threads."""
 
     def __init__(self) -> None:
-        self._table: Final = BackoffBook()
+        self._table: Final = BackoffTable()
         self._randomness: Final = random.Random()
         self._lock: Final = threading.Lock()
 
@@ -32,8 +32,8 @@
             boxes: number of boxes that send to the target.
         """
         with self._lock:
-            spread = find_spread_seconds(seconds, boxes, self._randomness)
-            self._table.note(
+            spread = draw_jitter_seconds(seconds, boxes, self._randomness)
+            self._table.record(
                 _make_incarnation(service, target, address), seconds, read_clock(), spread
             )
         fields = {"service": service, "target": target, "seconds": seconds}
@@ -63,5 +63,5 @@
         return min(seconds, default=0.0)
 
 
-def _make_incarnation(service: str, target: str, address: str) -> TargetStart:
-    return TargetStart(target=f"{service}/{target}", address=address)
+def _make_incarnation(service: str, target: str, address: str) -> TargetIncarnation:
+    return TargetIncarnation(target=f"{service}/{target}", address=address)
--- a/packages/damsonlaned/src/damsonlaned/gateway/_free_calls.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_free_calls.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Mapping, Sequence
 from typing import Final
 
-from damsonlane.backoff import TargetStart
+from damsonlane.backoff import TargetIncarnation
 from damsonlane.errors import DamsonlaneError
 from damsonlaned.gateway._freed_results import FreedResults
 from damsonlaned.gateway._pool_calls import PoolCalls
@@ -53,7 +53,7 @@
         self._on_memory_freed: Final = on_memory_freed
         self._freed: Final = FreedResults(read_address, self._send)
         self._tasks: Final[set[asyncio.Task[None]]] = set()
-        self._freed_at: Final[dict[TargetStart, float]] = {}
+        self._freed_at: Final[dict[TargetIncarnation, float]] = {}
 
     def add(self, handles: Sequence[str]) -> None:
         """Free results shortly, batched with others."""
--- a/packages/damsonlaned/src/damsonlaned/gateway/_limit_reports.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_limit_reports.py
@@ -4,7 +4,7 @@
 import logging
 from typing import Final
 
-from damsonlane.backoff import TargetStart
+from damsonlane.backoff import TargetIncarnation
 from damsonlane.errors import UnavailableError
 from damsonlane.ratelimit import RateWord
 from damsonlane_rpc import ControlClient, PermitBatchRequest
@@ -32,7 +32,7 @@
     def __init__(self, view: FleetView, client: ControlClient) -> None:
         self._view: Final = view
         self._client: Final = client
-        self._waiting: dict[TargetStart, RateWord] = {}
+        self._waiting: dict[TargetIncarnation, RateWord] = {}
         self._task: asyncio.Task[None] | None = None
         view.limits.on_update(self._enqueue)
 
--- a/packages/damsonlaned/src/damsonlaned/gateway/_limited_places.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_limited_places.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from damsonlane.backoff import TargetStart
+from damsonlane.backoff import TargetIncarnation
 from damsonlane.ratelimit import Permit
 from damsonlane.routes import Service
 from damsonlaned.gateway._permit_client import PermitClient
@@ -40,7 +40,7 @@
     def __init__(self, targets: Targets, permits: PermitClient) -> None:
         self._targets: Final = targets
         self._permits: Final = permits
-        self._limited_until: dict[TargetStart, float] = {}
+        self._limited_until: dict[TargetIncarnation, float] = {}
 
     async def choose(
         self, service: Service, prompt: Prompt, avoid: Collection[str]
@@ -75,7 +75,7 @@
         return None if permit is not None and permit.may_begin else _explain(permit)
 
     async def _choose_among_limited(
-        self, service: Service, limited: dict[str, TargetStart], avoid: Collection[str]
+        self, service: Service, limited: dict[str, TargetIncarnation], avoid: Collection[str]
     ) -> Chosen | NoPlace:
         """Return a target where all are rate limited, or when the caller should retry."""
         untried = [incarnation for name, incarnation in limited.items() if name not in avoid]
@@ -85,7 +85,7 @@
         return chosen or _explain(permit)
 
     async def _choose_with_permit(
-        self, service: Service, targets: list[TargetStart]
+        self, service: Service, targets: list[TargetIncarnation]
     ) -> Chosen | None:
         """Return a rate-limited target with a permit, or None without a permit."""
         permit = await self._permits.ask(service.name, targets, is_last=False)
@@ -101,7 +101,7 @@
             return None
         return self._targets.take_permitted(service, permit.target)
 
-    def _list_at_rate_limit(self, limited: dict[str, TargetStart]) -> set[str]:
+    def _list_at_rate_limit(self, limited: dict[str, TargetIncarnation]) -> set[str]:
         """Return the targets for which this entry was refused a permit and should not ask yet."""
         now = asyncio.get_running_loop().time()
         expired = [
--- a/packages/damsonlaned/src/damsonlaned/gateway/_permit_client.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_permit_client.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 from typing import Final, Protocol
 
-from damsonlane.backoff import TargetStart
+from damsonlane.backoff import TargetIncarnation
 from damsonlane.ratelimit import Permit, PermitOrder, RateWord
 from damsonlane_rpc import PoolOrders
 from damsonlaned.gateway._view import FleetView
@@ -50,7 +50,7 @@
     async def ask(
         self,
         service: str,
-        targets: Sequence[TargetStart],
+        targets: Sequence[TargetIncarnation],
         *,
         is_last: bool,
         is_beginning: bool = False,
--- a/packages/damsonlaned/src/damsonlaned/gateway/_placer.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_placer.py
@@ -4,7 +4,7 @@
 from collections.abc import Mapping, Sequence
 from typing import Final
 
-from damsonlane.backoff import TargetStart
+from damsonlane.backoff import TargetIncarnation
 from damsonlane.coldness import ColdGate
 from damsonlane.placement import EngineTable, Placement, PlacementRequest, PromptOutcome
 from damsonlane.routes import EngineTraits
@@ -62,7 +62,7 @@
             self._view.limits.take_permit(self._service, limited[placement.target])
         return placement
 
-    def _list_at_rate_limit(self, limited: Mapping[str, TargetStart]) -> list[str]:
+    def _list_at_rate_limit(self, limited: Mapping[str, TargetIncarnation]) -> list[str]:
         """Return the engines that are at their announced rate limit."""
         wait = self._view.limits.wait_seconds
         return [
--- a/packages/damsonlaned/src/damsonlaned/gateway/_pool_targets.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_pool_targets.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Sequence
 from typing import Final
 
-from damsonlane.backoff import TargetStart
+from damsonlane.backoff import TargetIncarnation
 from damsonlane.pools import CallCapacity, ResultMemory, ThroughputEstimate
 from damsonlane.routes import PoolTraits
 from damsonlane.targets import TargetRecord
@@ -38,12 +38,12 @@
         self,
         record: TargetRecord,
         properties: PoolTraits,
-        find_backoff: Callable[[TargetStart], float] = lambda _: 0.0,
+        find_backoff: Callable[[TargetIncarnation], float] = lambda _: 0.0,
         limits: ServiceLimits | None = None,
     ) -> None:
         self._limits: Final = limits
         self.name: Final = record.target
-        self.incarnation: Final = TargetStart.of(record)
+        self.incarnation: Final = TargetIncarnation.of(record)
         self.start: Final = record.start
         self.address: Final = record.address
         self.data_centre: Final = record.data_centre
@@ -137,7 +137,9 @@
         limits: rate limits that targets announced.
     """
 
-    def __init__(self, find_backoff: Callable[[TargetStart], float], limits: ServiceLimits) -> None:
+    def __init__(
+        self, find_backoff: Callable[[TargetIncarnation], float], limits: ServiceLimits
+    ) -> None:
         self._limits: Final = limits
         self._find_backoff: Final = find_backoff
         self._targets: dict[str, PoolTarget] = {}
--- a/packages/damsonlaned/src/damsonlaned/gateway/_rate_limits.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_rate_limits.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Collection, Sequence
 from typing import Final
 
-from damsonlane.backoff import TargetStart
+from damsonlane.backoff import TargetIncarnation
 from damsonlane.ratelimit import (
     Permit,
     PermitIssuer,
@@ -31,7 +31,7 @@
     """
 
     def __init__(
-        self, clock: Callable[[], float], find_service: Callable[[TargetStart], str]
+        self, clock: Callable[[], float], find_service: Callable[[TargetIncarnation], str]
     ) -> None:
         self._clock: Final = clock
         self._find_service: Final = find_service
@@ -53,7 +53,7 @@
 
     # Reports from targets, peers and control.
 
-    def take(self, incarnation: TargetStart, signals: AnswerSigns, *, may_end: bool) -> None:
+    def take(self, incarnation: TargetIncarnation, signals: AnswerSigns, *, may_end: bool) -> None:
         """Process the head of an answer.
 
         Args:
@@ -88,7 +88,7 @@
         """Revision of the list from control that was applied last; -1 for none."""
         return self._listed.revision
 
-    def follow(self, known: Collection[TargetStart]) -> None:
+    def follow(self, known: Collection[TargetIncarnation]) -> None:
         """Forget incarnations that control no longer lists, as targets or as rate limited."""
         listed = {*known, *(report.named for report in self._listed.words)}
         self._book.forget_others(listed, self._clock())
@@ -96,11 +96,11 @@
 
     # Known limits.
 
-    def is_limited(self, incarnation: TargetStart) -> bool:
+    def is_limited(self, incarnation: TargetIncarnation) -> bool:
         """Return whether a target announced a rate limit low enough to bind."""
         return self._book.is_limited(incarnation)
 
-    def find_rate(self, incarnation: TargetStart) -> float | None:
+    def find_rate(self, incarnation: TargetIncarnation) -> float | None:
         """Return the rate limit of a target in requests per second; None without one."""
         return None if self._book.is_empty() else self._book.find_rate(incarnation)
 
@@ -114,19 +114,19 @@
         """Return whether this box owns a service, so that it issues all of its permits."""
         return self.find_share(service) >= 1.0
 
-    def wait_seconds(self, service: str, incarnation: TargetStart) -> float:
+    def wait_seconds(self, service: str, incarnation: TargetIncarnation) -> float:
         """Return the seconds until this box may issue one more permit for a target."""
         if not self.is_limited(incarnation):
             return 0.0
         return self._issuer.wait_seconds(incarnation, self.find_share(service), self._clock())
 
-    def take_permit(self, service: str, incarnation: TargetStart) -> bool:
+    def take_permit(self, service: str, incarnation: TargetIncarnation) -> bool:
         """Count a request to a target; return whether it may be sent."""
         if not self.is_limited(incarnation):
             return True
         return self._issuer.take(incarnation, self.find_share(service), self._clock())
 
-    def gap_seconds(self, service: str, incarnation: TargetStart) -> float:
+    def gap_seconds(self, service: str, incarnation: TargetIncarnation) -> float:
         """Return the seconds between two permits of this box for a target; 0 without a limit."""
         if not self.is_limited(incarnation):
             return 0.0
@@ -161,14 +161,14 @@
         self._limits: Final = limits
         self._service: Final = service
 
-    def wait_seconds(self, incarnation: TargetStart) -> float:
+    def wait_seconds(self, incarnation: TargetIncarnation) -> float:
         """Return the seconds until a target may get one more call."""
         return self._limits.wait_seconds(self._service, incarnation)
 
-    def take_permit(self, incarnation: TargetStart) -> bool:
+    def take_permit(self, incarnation: TargetIncarnation) -> bool:
         """Count a call to a target; return whether it may be sent."""
         return self._limits.take_permit(self._service, incarnation)
 
-    def gap_seconds(self, incarnation: TargetStart) -> float:
+    def gap_seconds(self, incarnation: TargetIncarnation) -> float:
         """Return the least seconds between two calls to a target; 0 without a limit."""
         return self._limits.gap_seconds(self._service, incarnation)
--- a/packages/damsonlaned/src/damsonlaned/gateway/_target_notices.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_target_notices.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Sequence
 from typing import Final
 
-from damsonlane.backoff import BackoffBook, TargetStart, find_spread_seconds
+from damsonlane.backoff import BackoffTable, TargetIncarnation, draw_jitter_seconds
 from damsonlane.targets import TargetRecord
 from damsonlaned.dialects import AnswerSigns
 from damsonlaned.gateway._rate_limits import RateLimits
@@ -33,11 +33,13 @@
         self._clock: Final = clock
         self._count_boxes: Final = count_boxes
         self._on_draining: Final = on_draining
-        self._table: Final = BackoffBook()
+        self._table: Final = BackoffTable()
         self._limits: Final = limits
         self._randomness: Final = random.Random()
 
-    def take(self, incarnation: TargetStart, signs: AnswerSigns, *, is_work: bool = True) -> None:
+    def take(
+        self, incarnation: TargetIncarnation, signs: AnswerSigns, *, is_work: bool = True
+    ) -> None:
         """Record the signals in the head of any response.
 
         Args:
@@ -50,24 +52,24 @@
         fields = {"target": incarnation.target, "start": incarnation.start}
         if signs.backoff_seconds > 0:
             seconds = signs.backoff_seconds
-            spread = find_spread_seconds(seconds, self._count_boxes(), self._randomness)
-            self._table.note(incarnation, seconds, self._clock(), spread)
+            spread = draw_jitter_seconds(seconds, self._count_boxes(), self._randomness)
+            self._table.record(incarnation, seconds, self._clock(), spread)
             times = {"seconds": seconds, "spread": round(spread, 3)}
             _LOG.info("target requested back-off", extra={**fields, **times})
-        if signs.is_leaving and self._table.note_leaving(incarnation):
+        if signs.is_leaving and self._table.record_draining(incarnation):
             _LOG.info("target is draining", extra=fields)
             self._on_draining()
         self._limits.take(incarnation, signs, may_end=is_work and not signs.has_not_run)
 
     def is_leaving(self, record: TargetRecord) -> bool:
         """Return whether a target announced to this box that it shuts down."""
-        return not self._table.is_empty() and self._table.is_leaving(TargetStart.of(record))
+        return not self._table.is_empty() and self._table.is_draining(TargetIncarnation.of(record))
 
-    def list_backing_off(self) -> set[TargetStart]:
+    def list_backing_off(self) -> set[TargetIncarnation]:
         """Return the targets that requested back-off from this box."""
         return set() if self._table.is_empty() else self._table.list_backing_off(self._clock())
 
-    def seconds_left(self, incarnation: TargetStart) -> float:
+    def seconds_left(self, incarnation: TargetIncarnation) -> float:
         """Return the seconds until the back-off of a target ends; 0 if it requested none."""
         return (
             0.0 if self._table.is_empty() else self._table.seconds_left(incarnation, self._clock())
@@ -75,6 +77,6 @@
 
     def follow(self, records: Sequence[TargetRecord]) -> None:
         """Drop the announcements of incarnations that control no longer lists."""
-        known = [TargetStart.of(record) for record in records]
-        self._table.forget_others(known, self._clock())
+        known = [TargetIncarnation.of(record) for record in records]
+        self._table.prune(known, self._clock())
         self._limits.follow(known)
--- a/packages/damsonlaned/src/damsonlaned/gateway/_targets.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_targets.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, replace
 from typing import Final
 
-from damsonlane.backoff import TargetStart
+from damsonlane.backoff import TargetIncarnation
 from damsonlane.coldness import ColdGate, find_entry_share
 from damsonlane.routes import Service
 from damsonlane.routing import (
@@ -66,9 +66,9 @@
     source_address: str = ""
 
     @property
-    def named(self) -> TargetStart:
+    def named(self) -> TargetIncarnation:
         """The incarnation that was chosen."""
-        return TargetStart(target=self.target, address=self.address, start=self.start)
+        return TargetIncarnation(target=self.target, address=self.address, start=self.start)
 
 
 class Targets:
@@ -182,7 +182,7 @@
         """Undo the choice of a target to which nothing was sent."""
         self.finish(chosen, "neutral")
 
-    def list_limited(self, service: Service) -> dict[str, TargetStart]:
+    def list_limited(self, service: Service) -> dict[str, TargetIncarnation]:
         """Return the usable targets that announced a rate limit, by name."""
         limited = self._view.list_limited(service.name)
         if not limited:
--- a/packages/damsonlaned/src/damsonlaned/gateway/_view.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_view.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Sequence
 from typing import Final
 
-from damsonlane.backoff import TargetStart
+from damsonlane.backoff import TargetIncarnation
 from damsonlane.cluster import PackedDocument
 from damsonlane.coldness import ColdAllowance, ColdBound
 from damsonlane.errors import SettingsError
@@ -119,14 +119,14 @@
         if not self.list_backing_off(service):
             return 0.0
         records = self.open_targets_of(service)
-        waits = [self.notices.seconds_left(TargetStart.of(record)) for record in records]
+        waits = [self.notices.seconds_left(TargetIncarnation.of(record)) for record in records]
         return min(waits, default=0.0)
 
-    def _find_service(self, named: TargetStart) -> str:
+    def _find_service(self, named: TargetIncarnation) -> str:
         """Return the service of an incarnation that control lists, or an empty string."""
         return self._targets[named.target].service if self.is_listed(named) else ""
 
-    def list_limited(self, service: str) -> dict[str, TargetStart]:
+    def list_limited(self, service: str) -> dict[str, TargetIncarnation]:
         """Return the targets of a service that announced a rate limit, by name."""
         starts = [word.named for word in self.limits.list_words()]
         listed = [named for named in starts if self.is_listed(named)]
@@ -136,10 +136,10 @@
             if self._targets[named.target].service == service and self.limits.is_limited(named)
         }
 
-    def is_listed(self, named: TargetStart) -> bool:
+    def is_listed(self, named: TargetIncarnation) -> bool:
         """Return whether control lists this incarnation of a target."""
         record = self._targets.get(named.target)
-        return record is not None and TargetStart.of(record) == named
+        return record is not None and TargetIncarnation.of(record) == named
 
     def find_cold_bound(self, service: str) -> ColdBound | None:
         """Return the load limit of a service's targets during warm-up; None if there is none."""
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_backoff_ends.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_backoff_ends.py
@@ -8,7 +8,7 @@
 from dataclasses import replace
 from unittest import mock
 
-from damsonlane.backoff import TargetStart
+from damsonlane.backoff import TargetIncarnation
 from damsonlane.targets import TargetRecord
 from damsonlaned import clock
 from damsonlaned.dialects import AnswerSigns
@@ -56,12 +56,14 @@
     reply._stream.write(late + b"Content-Length: 0\r\n\r\n" + own + b"Content-Length: 2\r\n\r\nok")
 
 
-def make_backoff_signals(record: TargetRecord, seconds: float) -> tuple[TargetStart, AnswerSigns]:
+def make_backoff_signals(
+    record: TargetRecord, seconds: float
+) -> tuple[TargetIncarnation, AnswerSigns]:
     """Return the incarnation of a target, and signals by which it requests back-off."""
     signs = AnswerSigns(
         request_id=None, has_not_run=False, load=None, is_stream=False, backoff_seconds=seconds
     )
-    return TargetStart.of(record), signs
+    return TargetIncarnation.of(record), signs
 
 
 class BackoffEndsTest(unittest.IsolatedAsyncioTestCase):
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_ended_targets.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_ended_targets.py
@@ -6,7 +6,7 @@
 import unittest
 from dataclasses import replace
 
-from damsonlane.backoff import TargetStart
+from damsonlane.backoff import TargetIncarnation
 from damsonlane.quarantine import BrokenRun
 from damsonlaned.dialects import AnswerSigns
 from damsonlaned.gateway._ended_targets import EndedTargets
@@ -99,7 +99,7 @@
         signs = AnswerSigns(
             request_id=None, has_not_run=False, load=None, is_stream=False, is_leaving=True
         )
-        self.entry.view.notices.take(TargetStart.of(self.record), signs)
+        self.entry.view.notices.take(TargetIncarnation.of(self.record), signs)
         await self.target.stop()
         self.assertFalse(await self.detector.note_broken(self.lost, (RUN,)))
         self.assertEqual(self.entry.exits, [])
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_rate_limit_ends.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_rate_limit_ends.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 from unittest import mock
 
-from damsonlane.backoff import TargetStart
+from damsonlane.backoff import TargetIncarnation
 from damsonlane.pools import PieceOrder
 from damsonlane.ratelimit import SECOND_SHARE, RateLimitList, RateWord
 from damsonlane.targets import TargetRecord
@@ -55,7 +55,7 @@
     return answer
 
 
-def count_permits(owner: Entry, incarnation: TargetStart, service: str = "desk") -> int:
+def count_permits(owner: Entry, incarnation: TargetIncarnation, service: str = "desk") -> int:
     """Return how many of fifty requests to a target may be sent now."""
     return sum(owner.view.limits.take_permit(service, incarnation) for _ in range(50))
 
@@ -76,7 +76,7 @@
         target = StandIn("t1", work((make_header("5"),)))
         entry, records = await start_entry(self, target)
         await self.call_all(entry, 1)
-        incarnation = TargetStart.of(records[0])
+        incarnation = TargetIncarnation.of(records[0])
         for rate in (7.0, 0.5):
             entry.view.limits.learn([RateWord(named=incarnation, rate=rate)])
             self.assertEqual(entry.view.limits.find_rate(incarnation), rate)
@@ -96,7 +96,7 @@
         await asyncio.sleep(0.3)
         await self.call_all(entry, 1)
         self.assertGreater(len(target.requests), 1)
-        self.assertEqual(entry.view.limits.find_rate(TargetStart.of(records[0])), 5.0)
+        self.assertEqual(entry.view.limits.find_rate(TargetIncarnation.of(records[0])), 5.0)
 
     async def test_free_call_may_announce_a_rate_limit_and_does_not_end_it(self) -> None:
         created: list[StandIn] = []
@@ -110,7 +110,7 @@
 
         created.append(StandIn("p1", answer, "pool"))
         entry, records = await start_entry(self, created[0], StandIn("t1", answer_well))
-        incarnation = TargetStart.of(records[0])
+        incarnation = TargetIncarnation.of(records[0])
         await entry.call("/pieces/a", headers=ONE_PIECE, deadline_ms=8_000)
         await wait(lambda: entry.view.limits.find_rate(incarnation) == 3.0)
 
@@ -164,7 +164,7 @@
     async def test_box_needs_a_permit_as_soon_as_control_lists_the_limit(self) -> None:
         target = StandIn("t1", work((SLOW_HEADER,)))
         fleet, records = await self.start(target)
-        report = RateWord(named=TargetStart.of(records[0]), rate=SLOW)
+        report = RateWord(named=TargetIncarnation.of(records[0]), rate=SLOW)
         for entry in fleet.entries:
             entry.view.limits.put(RateLimitList(revision=1, words=(report,)))
         statuses = [(await entry.call("/plain/a")).status for entry in fleet.entries]
@@ -177,7 +177,7 @@
     async def test_box_that_receives_a_rate_limit_reports_it_to_the_owner(self) -> None:
         target = StandIn("t1", work((SLOW_HEADER,)))
         fleet, records = await self.start(target)
-        incarnation = TargetStart.of(records[0])
+        incarnation = TargetIncarnation.of(records[0])
         owner = self.find_owner(fleet, "desk")
         receiver = next(entry for entry in fleet.entries if entry is not owner)
         await receiver.call("/plain/a")
@@ -186,7 +186,7 @@
     async def test_permit_corrects_a_box_that_missed_the_end_of_a_limit(self) -> None:
         target = StandIn("t1", answer_well)
         fleet, records = await self.start(target)
-        incarnation = TargetStart.of(records[0])
+        incarnation = TargetIncarnation.of(records[0])
         owner = self.find_owner(fleet, "desk")
         asker = next(entry for entry in fleet.entries if entry is not owner)
         asker.view.limits.learn([RateWord(named=incarnation, rate=SLOW, age=5.0)])
@@ -199,7 +199,7 @@
     async def test_fallback_owner_issues_a_smaller_share(self) -> None:
         target = StandIn("t1", work((make_header("100"),)))
         fleet, records = await self.start(target)
-        incarnation = TargetStart.of(records[0])
+        incarnation = TargetIncarnation.of(records[0])
         owner = self.find_owner(fleet, "desk")
         other = next(entry for entry in fleet.entries if entry is not owner)
         for entry in fleet.entries:
@@ -219,7 +219,7 @@
     async def test_next_owner_is_asked_if_the_first_does_not_answer(self) -> None:
         target = StandIn("t1", work((make_header("500"),)))
         fleet, records = await self.start(target)
-        incarnation = TargetStart.of(records[0])
+        incarnation = TargetIncarnation.of(records[0])
         gone = "127.0.0.1:1"
         asker = fleet.entries[0]
         for entry in fleet.entries:
@@ -239,7 +239,7 @@
         """Otherwise an owner that has just started would send without permits."""
         pool_target = StandIn("p1", answer_well, "pool")
         fleet, records = await self.start(pool_target)
-        incarnation = TargetStart.of(records[0])
+        incarnation = TargetIncarnation.of(records[0])
         owner = self.find_owner(fleet, "pool")
         asker = next(entry for entry in fleet.entries if entry is not owner)
         asker.view.limits.learn([RateWord(named=incarnation, rate=SLOW)])
@@ -308,7 +308,7 @@
         entry, records = await start_entry(self, pool_target, target, document=URGENT_DOCUMENT)
         first = await entry.call("/pieces/a", headers=ONE_PIECE, deadline_ms=8_000)
         second = await entry.call("/pieces/a", headers=ONE_PIECE, deadline_ms=8_000)
-        wait_left = entry.view.limits.wait_seconds("pool", TargetStart.of(records[0]))
+        wait_left = entry.view.limits.wait_seconds("pool", TargetIncarnation.of(records[0]))
         self.assertEqual([first.status, second.status], [200, 503])
         self.assertEqual(count_calls(pool_target), 1)
         # The next call is allowed five seconds later: the caller is refused before that.
--- a/packages/damsonlaned/src/damsonlaned/quarantine/_probe.py
+++ b/packages/damsonlaned/src/damsonlaned/quarantine/_probe.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Final, Self
 
-from damsonlane.backoff import TargetStart
+from damsonlane.backoff import TargetIncarnation
 from damsonlane_rpc import Endpoint
 
 #: Time-out of a probe, in seconds.
@@ -28,7 +28,7 @@
     is_name_kept: bool = False
 
     @classmethod
-    def of(cls, named: TargetStart) -> Self:
+    def of(cls, named: TargetIncarnation) -> Self:
         """Return the incarnation of a registered target whose answers were interrupted."""
         return cls(target=named.target, address=named.address, start=named.start)
 
