--- a/packages/damsonlane/src/damsonlane/requests/__init__.py
+++ b/packages/damsonlane/src/damsonlane/requests/__init__.py
@@ -1,45 +1,45 @@
 """Requests: the state machine of one request from arrival to outcome."""
 
-from damsonlane.requests._budget import RetryBudget, WindowBudget
-from damsonlane.requests._effects import AskLedger, Effect, End, Send, Wait
+from damsonlane.requests._budget import RetryBudget, WindowedRetryBudget
+from damsonlane.requests._effects import CommitToLedger, Effect, End, Send, Wait
 from damsonlane.requests._encoding import decode_answer, encode_answer
 from damsonlane.requests._models import (
     Answer,
     AttemptKey,
     AttemptResult,
-    Billed,
-    Ending,
-    Reason,
+    BilledOutcome,
+    ExecutionState,
+    Outcome,
     Refusal,
-    Repeat,
+    RefusalReason,
     Request,
-    Run,
-    StagePlan,
+    ResolvedStage,
     StageReport,
+    StoredAnswer,
 )
-from damsonlane.requests._state_machine import RequestRun
+from damsonlane.requests._state_machine import RequestStateMachine
 
 __all__ = [
     "Answer",
-    "AskLedger",
+    "CommitToLedger",
     "AttemptKey",
     "AttemptResult",
-    "Billed",
+    "BilledOutcome",
     "Effect",
     "End",
-    "Ending",
-    "Reason",
+    "Outcome",
+    "RefusalReason",
     "Refusal",
-    "Repeat",
+    "StoredAnswer",
     "Request",
-    "RequestRun",
+    "RequestStateMachine",
     "RetryBudget",
-    "Run",
+    "ExecutionState",
     "Send",
-    "StagePlan",
+    "ResolvedStage",
     "StageReport",
     "Wait",
     "decode_answer",
     "encode_answer",
-    "WindowBudget",
+    "WindowedRetryBudget",
 ]
--- a/packages/damsonlane/src/damsonlane/requests/_budget.py
+++ b/packages/damsonlane/src/damsonlane/requests/_budget.py
@@ -27,7 +27,7 @@
         return True
 
 
-class WindowBudget:
+class WindowedRetryBudget:
     """Limits retries to a share of first attempts in any window of time.
 
     It is one box's part of a budget of the whole fleet: the first attempts of the box count in
--- a/packages/damsonlane/src/damsonlane/requests/_effects.py
+++ b/packages/damsonlane/src/damsonlane/requests/_effects.py
@@ -4,18 +4,18 @@
 from typing import Literal
 
 from damsonlane.ledger import JobCommand
-from damsonlane.requests._models import AttemptKey, Billed, StagePlan
+from damsonlane.requests._models import AttemptKey, BilledOutcome, ResolvedStage
 
 
 @dataclass(frozen=True, kw_only=True)
 class Send:
-    """Send one attempt to a target, then call `RequestRun.take_result`."""
+    """Send one attempt to a target, then call `RequestStateMachine.take_result`."""
 
     kind: Literal["send"] = "send"
     #: Identity of the attempt.
     key: AttemptKey
     #: The stage, with the service to choose a target from.
-    stage: StagePlan
+    stage: ResolvedStage
     #: Input of the stage.
     text: str
     #: Targets at which this stage failed already.
@@ -27,8 +27,8 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class AskLedger:
-    """Have the ledger commit a command, then call `RequestRun.take_reply`."""
+class CommitToLedger:
+    """Have the ledger commit a command, then call `RequestStateMachine.take_reply`."""
 
     kind: Literal["ask-ledger"] = "ask-ledger"
     #: The command.
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Wait:
-    """Wait, then call `RequestRun.resume`."""
+    """Wait, then call `RequestStateMachine.resume`."""
 
     kind: Literal["wait"] = "wait"
     #: Seconds to wait.
@@ -52,7 +52,7 @@
 
     kind: Literal["end"] = "end"
     #: The outcome and its cost.
-    billed: Billed
+    billed: BilledOutcome
 
 
-Effect = Send | AskLedger | Wait | End
+Effect = Send | CommitToLedger | Wait | End
--- a/packages/damsonlane/src/damsonlane/requests/_models.py
+++ b/packages/damsonlane/src/damsonlane/requests/_models.py
@@ -7,10 +7,10 @@
 from damsonlane.ledger import JobKey
 
 #: Whether any part of a refused request ran: certainly not, or unknown.
-Run = Literal["no", "unknown"]
+ExecutionState = Literal["no", "unknown"]
 
 #: Why a request was refused.
-Reason = Literal[
+RefusalReason = Literal[
     "deadline",
     "deadline-passed",
     "overloaded",
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class StagePlan:
+class ResolvedStage:
     """One stage with the settings that apply to it."""
 
     #: Name of the stage.
@@ -56,9 +56,9 @@
     #: Input of the first stage.
     text: str
     #: Deadline of the answer, by the monotonic clock of the entry, in seconds.
-    due_at: float
+    deadline_at: float
     #: The stages, in order.
-    stages: tuple[StagePlan, ...]
+    stages: tuple[ResolvedStage, ...]
     #: Key of the job if the request must run at most once, else None.
     job: JobKey | None = None
     #: SHA-256 digest of pipeline and body, for requests with a job.
@@ -104,17 +104,17 @@
     #: Request that is refused.
     request: str
     #: Reason of the refusal.
-    reason: Reason
+    reason: RefusalReason
     #: Explanation for people.
     detail: str
     #: Whether any part of the request ran.
-    run: Run
+    run: ExecutionState
     #: Seconds after which the caller may retry; 0 if it should not.
     retry_after: float = 0.0
 
 
 @dataclass(frozen=True, kw_only=True)
-class Repeat:
+class StoredAnswer:
     """The answer that the ledger stores from an earlier handling of the same job."""
 
     kind: Literal["repeat"] = "repeat"
@@ -122,7 +122,7 @@
     answer: str
 
 
-Ending = Answer | Refusal | Repeat
+Outcome = Answer | Refusal | StoredAnswer
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -163,10 +163,10 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Billed:
+class BilledOutcome:
     """An outcome with its cost."""
 
     #: The outcome.
-    ending: Ending
+    outcome: Outcome
     #: One line for each billed attempt.
     costs: tuple[CostLine, ...]
--- a/packages/damsonlane/src/damsonlane/requests/_state_machine.py
+++ b/packages/damsonlane/src/damsonlane/requests/_state_machine.py
@@ -6,20 +6,20 @@
 from damsonlane.costs import AttemptOutcome, CostLine
 from damsonlane.ledger import ClaimJob, DropJob, FinishJob, JobReply, StartJob
 from damsonlane.requests._budget import RetryBudget
-from damsonlane.requests._effects import AskLedger, Effect, End, Send, Wait
+from damsonlane.requests._effects import CommitToLedger, Effect, End, Send, Wait
 from damsonlane.requests._encoding import encode_answer
 from damsonlane.requests._models import (
     Answer,
     AttemptKey,
     AttemptResult,
-    Billed,
-    Ending,
-    Reason,
+    BilledOutcome,
+    ExecutionState,
+    Outcome,
     Refusal,
-    Repeat,
+    RefusalReason,
     Request,
-    Run,
     StageReport,
+    StoredAnswer,
 )
 
 #: First wait before claiming a job again that another handling holds, in seconds.
@@ -38,7 +38,7 @@
 DEFAULT_RETRY_AFTER: Final = 1.0
 
 #: Reason of a refusal by the outcome of the last attempt.
-_REASONS: Final[Mapping[str, Reason]] = {
+_REASONS: Final[Mapping[str, RefusalReason]] = {
     "answered": "target-failed",
     "failed": "target-failed",
     "refused": "overloaded",
@@ -46,7 +46,7 @@
 }
 
 
-class RequestRun:
+class RequestStateMachine:
     """State machine of one request; each method returns the next effect to carry out.
 
     Args:
@@ -81,15 +81,15 @@
         self._answer: Answer | None = None
 
     @property
-    def is_marked(self) -> bool:
+    def is_at_most_once(self) -> bool:
         """Whether the request must run at most once."""
         return self._request.job is not None
 
     def begin(self, now: float) -> Effect:
         """Claim the job if the request has one, or send the first stage."""
-        if self._request.due_at <= now:
+        if self._request.deadline_at <= now:
             return self._refuse("deadline-passed", "the deadline had passed on arrival")
-        if self.is_marked:
+        if self.is_at_most_once:
             return self._claim(now)
         return self._send(now)
 
@@ -125,11 +125,11 @@
             return self._complete_stage(now, target, result.output)
         return self._recover(now, target, result)
 
-    def give_up(self, now: float) -> Effect:
+    def abandon(self, now: float) -> Effect:
         """Refuse the request, which cannot meet its deadline, instead of carrying out a `Send`."""
         return self._fail(now, "deadline", "the remaining stages can't end in time")
 
-    def hold(self, now: float, detail: str) -> Effect:
+    def refuse_quarantined(self, now: float, detail: str) -> Effect:
         """Refuse the request instead of carrying out a `Send`.
 
         It is quarantined, since it would make targets exit.
@@ -152,14 +152,14 @@
             token=self._token,
             at=self._wall_clock,
         )
-        return AskLedger(command=command, seconds=remaining)
+        return CommitToLedger(command=command, seconds=remaining)
 
     def _take_claim(self, now: float, reply: JobReply) -> Effect:
         job = self._request.job
         assert job is not None
         if reply.token != self._token:
             return self._claim(now)
-        return AskLedger(
+        return CommitToLedger(
             command=StartJob(name=job, token=self._token), seconds=self._remaining(now)
         )
 
@@ -171,7 +171,7 @@
         if reply.verdict == "too-old":
             return self._refuse("key-too-old", "the key is past its horizon", "unknown")
         if reply.phase == "finished":
-            return self._end(Repeat(answer=reply.answer))
+            return self._end(StoredAnswer(answer=reply.answer))
         if reply.phase == "dropped":
             return self._claim(now)
         return self._await_holder(now, reply)
@@ -190,7 +190,7 @@
             job = self._request.job
             assert job is not None
             command = DropJob(name=job, token=reply.token)
-            return AskLedger(command=command, seconds=self._remaining(now))
+            return CommitToLedger(command=command, seconds=self._remaining(now))
         wait = self._busy_wait
         if self._remaining(now) <= wait:
             return self._refuse("key-busy", "the same job is still running", "unknown")
@@ -203,12 +203,12 @@
         detail = "control could not confirm the job in time"
         return self._refuse("no-quorum", detail, self._unconfirmed_run())
 
-    def _unconfirmed_run(self) -> Run:
+    def _unconfirmed_run(self) -> ExecutionState:
         """Return whether the job ran if this handling sent nothing and the ledger is unavailable.
 
         Only the caller knows whether an earlier handling of the key may have run.
         """
-        return "no" if self._request.is_first_send or not self.is_marked else "unknown"
+        return "no" if self._request.is_first_send or not self.is_at_most_once else "unknown"
 
     def _take_finish_reply(self) -> Effect:
         """Complete with the answer, whether or not the ledger has stored it."""
@@ -277,7 +277,7 @@
             request=self._request.request,
             output=output,
             stages=tuple(self._reports),
-            remaining=round(self._request.due_at - now, 6),
+            remaining=round(self._request.deadline_at - now, 6),
         )
         job = self._request.job
         if job is None:
@@ -285,16 +285,18 @@
         self._answer = answer
         command = FinishJob(name=job, token=self._token, answer=encode_answer(answer))
         # The answer is complete: store it for retries of the caller, while the caller waits.
-        return AskLedger(command=command, seconds=max(MIN_ATTEMPT_SECONDS, self._remaining(now)))
+        return CommitToLedger(
+            command=command, seconds=max(MIN_ATTEMPT_SECONDS, self._remaining(now))
+        )
 
     def _recover(self, now: float, target: str, result: AttemptResult) -> Effect:
         """Retry at another target if that is safe and allowed, else refuse the request."""
         self._avoid = (*self._avoid, target)
-        reason: Reason = "leaving" if result.is_leaving else _REASONS[result.outcome]
+        reason: RefusalReason = "leaving" if result.is_leaving else _REASONS[result.outcome]
         detail = f"stage '{self._request.stages[self._stage].name}': {result.fault}"
         if result.is_delivered:
             return self._refuse("not-whole", detail, "unknown")
-        if self.is_marked or not self._may_retry(now, target):
+        if self.is_at_most_once or not self._may_retry(now, target):
             return self._fail(now, reason, detail, result.retry_after)
         return self._send(now)
 
@@ -304,12 +306,12 @@
         return bool(target) and has_attempts and has_time and self._budget.try_spend()
 
     def _fail(
-        self, now: float, reason: Reason, detail: str, backoff_seconds: float = 0.0
+        self, now: float, reason: RefusalReason, detail: str, backoff_seconds: float = 0.0
     ) -> Effect:
         """Refuse the request; ``backoff_seconds`` is how long all targets back off."""
         wait = max(DEFAULT_RETRY_AFTER, backoff_seconds)
         if self._may_have_run:
-            retry_after = 0.0 if self.is_marked else wait
+            retry_after = 0.0 if self.is_at_most_once else wait
             return self._refuse(reason, detail, "unknown", retry_after)
         job = self._request.job
         if job is None:
@@ -322,15 +324,21 @@
             retry_after=wait,
         )
         command = DropJob(name=job, token=self._token, is_unsent=True)
-        return AskLedger(command=command, seconds=max(MIN_ATTEMPT_SECONDS, self._remaining(now)))
+        return CommitToLedger(
+            command=command, seconds=max(MIN_ATTEMPT_SECONDS, self._remaining(now))
+        )
 
     # Outcomes.
 
     def _remaining(self, now: float) -> float:
-        return self._request.due_at - now - ANSWER_RESERVE
+        return self._request.deadline_at - now - ANSWER_RESERVE
 
     def _refuse(
-        self, reason: Reason, detail: str, run: Run = "no", retry_after: float = 0.0
+        self,
+        reason: RefusalReason,
+        detail: str,
+        run: ExecutionState = "no",
+        retry_after: float = 0.0,
     ) -> Effect:
         refusal = Refusal(
             request=self._request.request,
@@ -341,8 +349,8 @@
         )
         return self._end(refusal)
 
-    def _end(self, ending: Ending) -> End:
-        return End(billed=Billed(ending=ending, costs=tuple(self._costs)))
+    def _end(self, ending: Outcome) -> End:
+        return End(billed=BilledOutcome(outcome=ending, costs=tuple(self._costs)))
 
     def _record_cost(
         self, now: float, target: str, result: AttemptResult, is_answered: bool
--- a/packages/damsonlane/src/damsonlane/requests/tests/machine.py
+++ b/packages/damsonlane/src/damsonlane/requests/tests/machine.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, precondition, rule
 
-from damsonlane.requests import AskLedger, Send, Wait
+from damsonlane.requests import CommitToLedger, Send, Wait
 from damsonlane.requests.tests.world import Fault, Handling, World
 
 _PICK = st.integers(min_value=0, max_value=1000)
@@ -52,10 +52,10 @@
             if isinstance(handling.effect, effect)
         ]
 
-    @precondition(lambda self: self._waiting(AskLedger))
+    @precondition(lambda self: self._waiting(CommitToLedger))
     @rule(pick=_PICK, how=_LEDGER)
     def answer_ledger(self, pick: int, how: str) -> None:
-        waiting = self._waiting(AskLedger)
+        waiting = self._waiting(CommitToLedger)
         self.world.answer_ledger(waiting[pick % len(waiting)], how)
 
     @precondition(lambda self: self.world.doubtful)
@@ -96,7 +96,7 @@
         waiting = self.world.open_handlings()
         handling = waiting[pick % len(waiting)]
         while handling.ending is None:
-            if isinstance(handling.effect, AskLedger):
+            if isinstance(handling.effect, CommitToLedger):
                 self.world.answer_ledger(handling, "commit")
             elif isinstance(handling.effect, Send):
                 self.world.answer_target(handling, "answered")
--- a/packages/damsonlane/src/damsonlane/requests/tests/session.py
+++ b/packages/damsonlane/src/damsonlane/requests/tests/session.py
@@ -17,18 +17,18 @@
 from damsonlane.costs import CostBook, RecordCosts
 from damsonlane.ledger import JobCommand, JobKey, JobReply, Ledger, read_holder
 from damsonlane.requests import (
-    AskLedger,
     AttemptResult,
+    CommitToLedger,
     Effect,
     End,
-    Ending,
+    Outcome,
     Refusal,
-    Repeat,
     Request,
-    RequestRun,
+    RequestStateMachine,
+    ResolvedStage,
     RetryBudget,
     Send,
-    StagePlan,
+    StoredAnswer,
     Wait,
     decode_answer,
 )
@@ -147,9 +147,9 @@
             organisation=asked.organisation,
             pipeline=asked.pipeline,
             text=asked.text,
-            due_at=now + asked.deadline,
+            deadline_at=now + asked.deadline,
             stages=tuple(
-                StagePlan(name=stage, service=stage, attempts=2, routing="predicted")
+                ResolvedStage(name=stage, service=stage, attempts=2, routing="predicted")
                 for stage in self._pipelines[asked.pipeline]
             ),
             job=job,
@@ -167,7 +167,7 @@
         elif not entry.limits.try_acquire(entrant, now):
             self._record(now, asked.entry, "lane full", {"request": request.request})
         else:
-            run = RequestRun(
+            run = RequestStateMachine(
                 request, token=f"{asked.entry}/1/{number}", wall_clock=now, budget=entry.budget
             )
             handling = _Handling(self, asked.entry, request, entrant, run)
@@ -254,7 +254,7 @@
         self._entries[entry].limits.release(handling.entrant)
         lines = effect.billed.costs
         self._costs.record(RecordCosts(sender="s", batch=next(self._batches), lines=lines))
-        ending = _describe(effect.billed.ending)
+        ending = _describe(effect.billed.outcome)
         self._record(now, entry, "ended", {"request": handling.request.request, **ending})
 
 
@@ -267,7 +267,7 @@
         entry: str,
         request: Request,
         entrant: AdmissionRequest,
-        run: RequestRun,
+        run: RequestStateMachine,
     ) -> None:
         self.session, self.entry, self.request = session, entry, request
         self.entrant, self.run = entrant, run
@@ -278,7 +278,7 @@
             self.session.end(self.entry, self, now, effect)
         elif isinstance(effect, Wait):
             self._schedule(now + effect.seconds, self.run.resume)
-        elif isinstance(effect, AskLedger):
+        elif isinstance(effect, CommitToLedger):
             self._ask_ledger(now, effect)
         else:
             self._send(now, effect)
@@ -286,7 +286,7 @@
     def _schedule(self, at_time: float, step: Callable[[float], Effect]) -> None:
         self.session.schedule(self.entry, at_time, lambda now: self.carry_out(now, step(now)))
 
-    def _ask_ledger(self, now: float, effect: AskLedger) -> None:
+    def _ask_ledger(self, now: float, effect: CommitToLedger) -> None:
         def reply(later: float) -> Effect:
             return self.run.take_reply(later, self.session.commit(effect.command))
 
@@ -311,10 +311,10 @@
     return WorkClass(organisation=request.organisation, pipeline=request.pipeline, stage=stage)
 
 
-def _describe(ending: Ending) -> dict[str, Any]:
+def _describe(ending: Outcome) -> dict[str, Any]:
     if isinstance(ending, Refusal):
         return {"refused": ending.reason, "run": ending.run}
-    answer = decode_answer(ending.answer) if isinstance(ending, Repeat) else ending
+    answer = decode_answer(ending.answer) if isinstance(ending, StoredAnswer) else ending
     return {
         "output": answer.output,
         "targets": [f"{stage.target} x{stage.attempts}" for stage in answer.stages],
--- a/packages/damsonlane/src/damsonlane/requests/tests/world.py
+++ b/packages/damsonlane/src/damsonlane/requests/tests/world.py
@@ -14,18 +14,18 @@
 )
 from damsonlane.requests import (
     Answer,
-    AskLedger,
     AttemptResult,
+    CommitToLedger,
     Effect,
     End,
-    Ending,
+    Outcome,
     Refusal,
-    Repeat,
     Request,
-    RequestRun,
+    RequestStateMachine,
+    ResolvedStage,
     RetryBudget,
     Send,
-    StagePlan,
+    StoredAnswer,
     Wait,
     decode_answer,
 )
@@ -46,18 +46,18 @@
     FORGET_ANSWER = "a finished job is claimed anew"
 
 
-class _RetriesStarted(RequestRun):
+class _RetriesStarted(RequestStateMachine):
     @property
-    def is_marked(self) -> bool:
-        return super().is_marked and not self._is_started
+    def is_at_most_once(self) -> bool:
+        return super().is_at_most_once and not self._is_started
 
 
-class _TakesAnyAnswer(RequestRun):
+class _TakesAnyAnswer(RequestStateMachine):
     def take_result(self, now: float, target: str, result: AttemptResult) -> Effect:
         return super().take_result(now, target, replace(result, answers=self._key()))
 
 
-class _SaysNotRunEarly(RequestRun):
+class _SaysNotRunEarly(RequestStateMachine):
     def _take_drop_reply(self, reply: JobReply | None) -> Effect:
         assert self._pending_refusal is not None
         return self._end(self._pending_refusal)
@@ -66,7 +66,7 @@
         return "no"
 
 
-class _SendsUnconfirmed(RequestRun):
+class _SendsUnconfirmed(RequestStateMachine):
     def take_reply(self, now: float, reply: JobReply | None) -> Effect:
         if reply is None and self._pending_refusal is None and not self._is_started:
             self._is_started = True
@@ -79,7 +79,7 @@
         return super().drop(replace(command, is_unsent=True))
 
 
-class _RunThatTakesOver(RequestRun):
+class _RunThatTakesOver(RequestStateMachine):
     def _await_holder(self, now: float, reply: JobReply) -> Effect:
         return super()._await_holder(now, replace(reply, phase="claimed"))
 
@@ -92,7 +92,7 @@
         return super().claim(command)
 
 
-_RUNS: dict[Fault, type[RequestRun]] = {
+_RUNS: dict[Fault, type[RequestStateMachine]] = {
     Fault.RETRY_STARTED: _RetriesStarted,
     Fault.ANSWER_BY_POSITION: _TakesAnyAnswer,
     Fault.NOT_RUN_TOO_EARLY: _SaysNotRunEarly,
@@ -111,9 +111,9 @@
 
     number: int
     request: Request
-    run: RequestRun
+    run: RequestStateMachine
     effect: Effect
-    ending: Ending | None = None
+    ending: Outcome | None = None
 
 
 @dataclass(frozen=True)
@@ -153,9 +153,9 @@
             organisation=organisation,
             pipeline="p",
             text=text,
-            due_at=self.now + DEADLINE,
+            deadline_at=self.now + DEADLINE,
             stages=tuple(
-                StagePlan(name=stage, service=stage, attempts=3, routing="random")
+                ResolvedStage(name=stage, service=stage, attempts=3, routing="random")
                 for stage in STAGES
             ),
             job=JobKey(organisation=organisation, key=key) if key else None,
@@ -163,7 +163,7 @@
             is_first_send=full_key not in self.keys_seen,
         )
         self.keys_seen.add(full_key)
-        run_class = _RUNS.get(self.fault, RequestRun)
+        run_class = _RUNS.get(self.fault, RequestStateMachine)
         run = run_class(request, token=f"token-{number}", wall_clock=self.now, budget=self.budget)
         self.handlings.append(Handling(number, request, run, run.begin(self.now)))
         self._record_outcome(self.handlings[-1])
@@ -175,7 +175,7 @@
     def answer_ledger(self, handling: Handling, how: str) -> None:
         """Answer a handling that asks the ledger."""
         effect = handling.effect
-        assert isinstance(effect, AskLedger)
+        assert isinstance(effect, CommitToLedger)
         reply = None
         if how in ("commit", "commit-and-lose"):
             reply = self.commit(effect.command)
@@ -250,7 +250,7 @@
     def _record_outcome(self, handling: Handling) -> None:
         if not isinstance(handling.effect, End):
             return
-        ending = handling.effect.billed.ending
+        ending = handling.effect.billed.outcome
         handling.ending = ending
         if isinstance(ending, Refusal):
             if ending.run == "no":
@@ -269,8 +269,8 @@
             )
             assert not is_covered, f"'not run' is false: {ran}"
 
-    def _check_answer(self, handling: Handling, ending: Answer | Repeat) -> None:
-        answer = decode_answer(ending.answer) if isinstance(ending, Repeat) else ending
+    def _check_answer(self, handling: Handling, ending: Answer | StoredAnswer) -> None:
+        answer = decode_answer(ending.answer) if isinstance(ending, StoredAnswer) else ending
         expected = handling.request.text
         for stage in STAGES:
             expected = make_output(stage, expected)
--- a/packages/damsonlaned/src/damsonlaned/entry/_caller_application.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_caller_application.py
@@ -9,11 +9,11 @@
 from damsonlane.admission import ADMISSION_SHARE, InFlightLimits
 from damsonlane.requests import (
     Answer,
-    Billed,
-    Ending,
-    Reason,
+    BilledOutcome,
+    Outcome,
     Refusal,
-    Repeat,
+    RefusalReason,
+    StoredAnswer,
     decode_answer,
 )
 from damsonlane.settings import BoxSettings
@@ -114,7 +114,7 @@
                 parsed, "held", describe_quarantined(quarantined), find_retry_seconds(quarantined)
             )
         request = parsed.request
-        remaining = request.due_at - read_clock()
+        remaining = request.deadline_at - read_clock()
         allowed = ADMISSION_SHARE * remaining
         needed = self._runner.forecast(parsed)
         if 0 < allowed < needed:
@@ -126,7 +126,7 @@
             self._refuse(parsed, "overloaded", f"lane '{parsed.entrant.lane}' is full")
 
     def _refuse(
-        self, parsed: ParsedRequest, reason: Reason, detail: str, retry_after: float = 0.0
+        self, parsed: ParsedRequest, reason: RefusalReason, detail: str, retry_after: float = 0.0
     ) -> NoReturn:
         refusal = Refusal(
             request=parsed.request.request,
@@ -151,20 +151,20 @@
         except BaseException:
             self._release(parsed)
             raise
-        if isinstance(first, Billed):
+        if isinstance(first, BilledOutcome):
             self._release(parsed)
-            self._count(parsed, first.ending, read_clock() - arrived_at)
-            if parsed.is_streaming and not isinstance(first.ending, Refusal):
-                return self._answer_complete_stream(first.ending, start)
-            return self._answer_outcome(first.ending, start)
+            self._count(parsed, first.outcome, read_clock() - arrived_at)
+            if parsed.is_streaming and not isinstance(first.outcome, Refusal):
+                return self._answer_complete_stream(first.outcome, start)
+            return self._answer_outcome(first.outcome, start)
         start("200 OK", self._headers([("Content-Type", "text/event-stream")]))
         return self._stream(parsed, run, first, arrived_at)
 
     def _stream(
         self,
         parsed: ParsedRequest,
-        run: Generator[str, None, Billed],
-        part: "str | Billed",
+        run: Generator[str, None, BilledOutcome],
+        part: "str | BilledOutcome",
         arrived_at: float,
     ) -> Iterator[bytes]:
         """Yield events; the server closes the generator if the caller's connection breaks."""
@@ -172,20 +172,20 @@
             while isinstance(part, str):
                 yield render_event("token", {"text": part})
                 part = _advance(run)
-            self._count(parsed, part.ending, read_clock() - arrived_at)
-            yield render_last_event(part.ending)
+            self._count(parsed, part.outcome, read_clock() - arrived_at)
+            yield render_last_event(part.outcome)
         finally:
             run.close()
             self._release(parsed)
 
-    def _answer_complete_stream(self, outcome: Ending, start: StartResponse) -> Iterable[bytes]:
+    def _answer_complete_stream(self, outcome: Outcome, start: StartResponse) -> Iterable[bytes]:
         """Send an answer that is already complete as a stream."""
         start("200 OK", self._headers([("Content-Type", "text/event-stream")]))
-        answer = decode_answer(outcome.answer) if isinstance(outcome, Repeat) else outcome
+        answer = decode_answer(outcome.answer) if isinstance(outcome, StoredAnswer) else outcome
         text = answer.output if isinstance(answer, Answer) else ""
         return [render_event("token", {"text": text}), render_last_event(outcome)]
 
-    def _answer_outcome(self, outcome: Ending, start: StartResponse) -> Iterable[bytes]:
+    def _answer_outcome(self, outcome: Outcome, start: StartResponse) -> Iterable[bytes]:
         if isinstance(outcome, Refusal):
             return self._answer_problem(describe_refusal(outcome), start)
         body = render_answer(outcome)
@@ -217,7 +217,7 @@
             return [*headers, ("Connection", "close")]
         return headers
 
-    def _count(self, parsed: ParsedRequest, outcome: Ending, seconds: float) -> None:
+    def _count(self, parsed: ParsedRequest, outcome: Outcome, seconds: float) -> None:
         """Count and log a completed request."""
         self._runner.count_completion(parsed, outcome)
         request = parsed.request
@@ -243,12 +243,12 @@
         )
 
 
-def _advance(run: Generator[str, None, Billed]) -> str | Billed:
+def _advance(run: Generator[str, None, BilledOutcome]) -> str | BilledOutcome:
     """Return the next part of the output, or the outcome when there are no more."""
     try:
         return next(run)
     except StopIteration as stop:
-        billed: Billed = stop.value
+        billed: BilledOutcome = stop.value
         return billed
 
 
--- a/packages/damsonlaned/src/damsonlaned/entry/_problems.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_problems.py
@@ -6,12 +6,12 @@
 from http import HTTPStatus
 from typing import Final
 
-from damsonlane.requests import Reason, Refusal, Run
+from damsonlane.requests import ExecutionState, Refusal, RefusalReason
 
 #: Prefix of the problem types that docs/callers.md lists.
 TYPE_PREFIX: Final = "urn:damsonlane:problem:"
 
-_STATUSES: Final[dict[Reason, HTTPStatus]] = {
+_STATUSES: Final[dict[RefusalReason, HTTPStatus]] = {
     "deadline": HTTPStatus.GATEWAY_TIMEOUT,
     "deadline-passed": HTTPStatus.GATEWAY_TIMEOUT,
     "overloaded": HTTPStatus.SERVICE_UNAVAILABLE,
@@ -39,7 +39,7 @@
     #: Explanation for a human reader.
     detail: str
     #: Whether anything of the request ran.
-    run: Run = "no"
+    run: ExecutionState = "no"
     #: Id of the request, or empty.
     request: str = ""
     #: Seconds after which the caller should retry; 0 for no ``Retry-After``.
--- a/packages/damsonlaned/src/damsonlaned/entry/_rendering.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_rendering.py
@@ -2,17 +2,17 @@
 
 import json
 
-from damsonlane.requests import Answer, Ending, Refusal, Repeat, decode_answer
+from damsonlane.requests import Answer, Outcome, Refusal, StoredAnswer, decode_answer
 
 
-def render_answer(outcome: Answer | Repeat) -> bytes:
+def render_answer(outcome: Answer | StoredAnswer) -> bytes:
     """Return a complete answer as a JSON body."""
     return json.dumps(_describe(outcome)).encode()
 
 
-def _describe(outcome: Answer | Repeat) -> dict[str, object]:
-    is_repeat = isinstance(outcome, Repeat)
-    answer = decode_answer(outcome.answer) if isinstance(outcome, Repeat) else outcome
+def _describe(outcome: Answer | StoredAnswer) -> dict[str, object]:
+    is_repeat = isinstance(outcome, StoredAnswer)
+    answer = decode_answer(outcome.answer) if isinstance(outcome, StoredAnswer) else outcome
     return {
         "request": answer.request,
         "output": answer.output,
@@ -35,7 +35,7 @@
     return f"event: {name}\ndata: {json.dumps(data)}\n\n".encode()
 
 
-def render_last_event(outcome: Ending) -> bytes:
+def render_last_event(outcome: Outcome) -> bytes:
     """Return the last event of a stream, which says whether the stream is complete."""
     if isinstance(outcome, Refusal):
         return render_event("end", {"whole": False, "reason": outcome.reason, "run": outcome.run})
--- a/packages/damsonlaned/src/damsonlaned/entry/_request_parser.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_request_parser.py
@@ -13,7 +13,7 @@
 
 from damsonlane.admission import AdmissionRequest
 from damsonlane.ledger import JobKey
-from damsonlane.requests import Request, Run, StagePlan
+from damsonlane.requests import ExecutionState, Request, ResolvedStage
 from damsonlane.settings import EffectivePolicy, Pipeline, Tree
 from damsonlaned.entry._problems import Problem
 from damsonlaned.entry._settings_view import SettingsInForce
@@ -57,7 +57,7 @@
     #: The settings in force on its arrival, which apply until it completes.
     settings: SettingsInForce
 
-    def run_if_refused(self) -> Run:
+    def run_if_refused(self) -> ExecutionState:
         """Return what is known to have run if the request is refused before it is admitted.
 
         An earlier sending of a request with an idempotency key may have run.
@@ -99,7 +99,9 @@
         organisation=organisation,
         pipeline=name,
         text=text,
-        due_at=_find_deadline(environment, settings.tree, organisation, name, policy, arrived_at),
+        deadline_at=_find_deadline(
+            environment, settings.tree, organisation, name, policy, arrived_at
+        ),
         stages=_resolve_stages(settings.tree, data_centre, organisation, name),
         job=JobKey(organisation=organisation, key=key) if key else None,
         digest=hashlib.sha256(f"{name}\0{text}".encode()).hexdigest(),
@@ -211,11 +213,11 @@
 
 def _resolve_stages(
     tree: Tree, data_centre: str, organisation: str, name: str
-) -> tuple[StagePlan, ...]:
+) -> tuple[ResolvedStage, ...]:
     resolved = []
     for stage in tree.organisations[organisation].pipelines[name].stages:
         policy = tree.stage_policy_of(data_centre, organisation, name, stage.service)
-        resolved_stage = StagePlan(
+        resolved_stage = ResolvedStage(
             name=stage.name,
             service=stage.service,
             attempts=policy.stage_attempts,
--- a/packages/damsonlaned/src/damsonlaned/entry/_request_runner.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_request_runner.py
@@ -12,14 +12,14 @@
 from damsonlane.quarantine import HeldRequest, find_fingerprint
 from damsonlane.requests import (
     Answer,
-    AskLedger,
     AttemptResult,
-    Billed,
+    BilledOutcome,
+    CommitToLedger,
     Effect,
     End,
-    Ending,
+    Outcome,
     Refusal,
-    RequestRun,
+    RequestStateMachine,
     RetryBudget,
     Send,
     Wait,
@@ -44,13 +44,13 @@
         """Return how many entries share the fleet's limits."""
         return self._control.settings.live_entries
 
-    def count_completion(self, parsed: ParsedRequest, outcome: Ending) -> None:
+    def count_completion(self, parsed: ParsedRequest, outcome: Outcome) -> None:
         """Count a completed request, from which the burn rate is computed."""
         request = parsed.request
         self._control.usage.count_completion(
             request.organisation,
             request.pipeline,
-            is_attained=not isinstance(outcome, Refusal) and read_clock() <= request.due_at,
+            is_attained=not isinstance(outcome, Refusal) and read_clock() <= request.deadline_at,
         )
 
     def find_quarantined(self, parsed: ParsedRequest) -> HeldRequest | None:
@@ -61,9 +61,9 @@
         """Return the predicted seconds of a request."""
         return self._dispatcher.forecast(parsed.request, parsed.settings)
 
-    def run(self, parsed: ParsedRequest) -> Generator[str, None, Billed]:
+    def run(self, parsed: ParsedRequest) -> Generator[str, None, BilledOutcome]:
         """Run a request, yielding parts of the last stage's output if it is streamed."""
-        machine = RequestRun(
+        machine = RequestStateMachine(
             parsed.request,
             token=self._control.holder.make_token(secrets.token_hex(8)),
             wall_clock=time.time(),
@@ -73,16 +73,16 @@
         while not isinstance(effect, End):
             effect = yield from self._perform(machine, effect, parsed)
         self._control.usage.add_costs(effect.billed.costs)
-        if isinstance(effect.billed.ending, Answer):
+        if isinstance(effect.billed.outcome, Answer):
             self._control.quarantine.record_served(_find_fingerprint(parsed))
         return effect.billed
 
     def _perform(
-        self, machine: RequestRun, effect: Effect, parsed: ParsedRequest
+        self, machine: RequestStateMachine, effect: Effect, parsed: ParsedRequest
     ) -> Generator[str, None, Effect]:
         if isinstance(effect, Send):
             return (yield from self._send(machine, effect, parsed))
-        if isinstance(effect, AskLedger):
+        if isinstance(effect, CommitToLedger):
             reply = self._control.jobs.submit(effect.command, effect.seconds)
             return machine.take_reply(read_clock(), reply)
         assert isinstance(effect, Wait)
@@ -99,13 +99,13 @@
         return needed > STAGE_SHARE * send.seconds
 
     def _send(
-        self, machine: RequestRun, send: Send, parsed: ParsedRequest
+        self, machine: RequestStateMachine, send: Send, parsed: ParsedRequest
     ) -> Generator[str, None, Effect]:
         quarantined = self.find_quarantined(parsed)
         if quarantined is not None:
-            return machine.hold(read_clock(), describe_quarantined(quarantined))
+            return machine.refuse_quarantined(read_clock(), describe_quarantined(quarantined))
         if self._cannot_meet_deadline(send, parsed):
-            return machine.give_up(read_clock())
+            return machine.abandon(read_clock())
         if send.key.number == 1:
             self._budget.count_first(send.stage.retry_share)
         attempt = self._dispatcher.send(
--- a/packages/damsonlaned/src/damsonlaned/entry/tests/test_backoff.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/tests/test_backoff.py
@@ -12,7 +12,7 @@
 
 from pydantic import JsonValue
 
-from damsonlane.requests import AttemptKey, AttemptResult, Request, Send, StagePlan
+from damsonlane.requests import AttemptKey, AttemptResult, Request, ResolvedStage, Send
 from damsonlane.settings import Tree, check_tree
 from damsonlaned.entry._dispatcher import Dispatcher
 from damsonlaned.entry._draining_targets import DrainingTargets
@@ -21,10 +21,12 @@
 #: Back-off that targets request, in seconds; longer than any test takes.
 BACKOFF_SECONDS = 600.0
 REQUESTS = 40
-STAGE = StagePlan(name="encode", service="encode", attempts=1, routing="paced")
+STAGE = ResolvedStage(name="encode", service="encode", attempts=1, routing="paced")
 KEY = AttemptKey(request="r", organisation="o", stage="encode", number=1)
 SEND = Send(key=KEY, stage=STAGE, text="", avoid=(), seconds=10.0, is_last=True)
-REQUEST = Request(request="r", organisation="o", pipeline="p", text="", due_at=0.0, stages=(STAGE,))
+REQUEST = Request(
+    request="r", organisation="o", pipeline="p", text="", deadline_at=0.0, stages=(STAGE,)
+)
 
 
 class FakeTarget:
--- a/packages/damsonlaned/src/damsonlaned/entry/tests/test_dispatcher.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/tests/test_dispatcher.py
@@ -6,7 +6,7 @@
 
 from pydantic import JsonValue
 
-from damsonlane.requests import AttemptKey, AttemptResult, Request, Send, StagePlan
+from damsonlane.requests import AttemptKey, AttemptResult, Request, ResolvedStage, Send
 from damsonlane.settings import Tree, check_tree
 from damsonlaned.entry._dispatcher import Dispatcher
 from damsonlaned.entry._draining_targets import DrainingTargets
@@ -20,7 +20,7 @@
     TargetReply,
 )
 
-_STAGE = StagePlan(name="encode", service="encode", attempts=1, routing="paced")
+_STAGE = ResolvedStage(name="encode", service="encode", attempts=1, routing="paced")
 
 
 _SEND = Send(
@@ -47,7 +47,7 @@
     def test_a_request_under_older_settings_does_not_restore_a_removed_target(self) -> None:
         dispatcher = Dispatcher("one", DrainingTargets(), mock.Mock())
         request = Request(
-            request="r", organisation="o", pipeline="p", text="", due_at=0, stages=(_STAGE,)
+            request="r", organisation="o", pipeline="p", text="", deadline_at=0, stages=(_STAGE,)
         )
         old, new = _settings(1, "removed"), _settings(2, "added")
         for settings in (old, new, old):
--- a/packages/damsonlaned/src/damsonlaned/gateway/_attempts.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_attempts.py
@@ -7,7 +7,7 @@
 from typing import Final
 
 from damsonlane.placement import InputLocation, PlacementRequest, PromptSegment
-from damsonlane.requests import WindowBudget
+from damsonlane.requests import WindowedRetryBudget
 from damsonlane.routing import Health
 from damsonlaned.dialects import AnswerSigns, Attempt, Dialect
 from damsonlaned.gateway._call import Call
@@ -76,7 +76,7 @@
         self._share: Final = share
         self._window: Final = window
         self._slack: Final = slack
-        self._budgets: dict[str, WindowBudget] = {}
+        self._budgets: dict[str, WindowedRetryBudget] = {}
 
     async def choose(
         self, call: Call, avoid: Collection[str], places: Sequence[InputLocation] = ()
@@ -214,10 +214,10 @@
             await exchange.skip_response()
         raise IncompleteResponseError("the target sent only answers to other requests")
 
-    def _budget(self, call: Call) -> WindowBudget:
+    def _budget(self, call: Call) -> WindowedRetryBudget:
         name = call.service.name
         if name not in self._budgets:
-            self._budgets[name] = WindowBudget(BUDGET_SHARE * self._share, self._window)
+            self._budgets[name] = WindowedRetryBudget(BUDGET_SHARE * self._share, self._window)
         return self._budgets[name]
 
     @staticmethod
