--- a/packages/damsonlane/src/damsonlane/cluster/_state.py
+++ b/packages/damsonlane/src/damsonlane/cluster/_state.py
@@ -49,10 +49,10 @@
     ReleaseRequest,
 )
 from damsonlane.ratelimit import (
-    NoteRateLimits,
     RateLimitList,
     RateLimitRegistry,
-    RateLimitsNoted,
+    RateLimitsRecorded,
+    RecordRateLimits,
 )
 from damsonlane.targets import (
     RegisterTarget,
@@ -82,7 +82,7 @@
     | NoteSurvived
     | ReleaseRequest
     | ForgetTargetEnds
-    | NoteRateLimits,
+    | RecordRateLimits,
     Field(discriminator="kind"),
 ]
 Reply = Annotated[
@@ -96,7 +96,7 @@
     | TargetNoted
     | EvacuationNoted
     | QuarantineNoted
-    | RateLimitsNoted,
+    | RateLimitsRecorded,
     Field(discriminator="kind"),
 ]
 
@@ -203,7 +203,7 @@
                 return self.evacuations.apply(command)
             case NoteTargetEnd() | NoteSurvived() | ReleaseRequest() | ForgetTargetEnds():
                 return self.quarantine.apply(command)
-            case NoteRateLimits():
+            case RecordRateLimits():
                 return self.rate_limits.apply(command)
 
     def _drop_stale_limits(self, command: RegisterTarget | RemoveTarget | SilenceTargets) -> None:
--- a/packages/damsonlane/src/damsonlane/placement/tests/simulation.py
+++ b/packages/damsonlane/src/damsonlane/placement/tests/simulation.py
@@ -203,7 +203,7 @@
             f"e{entry}", order, self._simulation.engines, now, exhausted, self._counted
         )
         if placement.target in self._buckets:
-            self._buckets[placement.target].take(now)
+            self._buckets[placement.target].try_acquire(now)
         return placement
 
     def note(self, entry: int, outcome: PromptOutcome, now: float) -> None:
--- a/packages/damsonlane/src/damsonlane/ratelimit/__init__.py
+++ b/packages/damsonlane/src/damsonlane/ratelimit/__init__.py
@@ -3,35 +3,35 @@
 from damsonlane.ratelimit._bucket import RateBucket
 from damsonlane.ratelimit._issuer import (
     MIN_RATE,
-    SECOND_SHARE,
+    NON_OWNER_SHARE,
     PermitIssuer,
 )
-from damsonlane.ratelimit._permits import Permit, PermitOrder
+from damsonlane.ratelimit._permits import Permit, PermitRequest
 from damsonlane.ratelimit._registry import (
-    NoteRateLimits,
     RateLimitList,
     RateLimitRegistry,
-    RateLimitsNoted,
+    RateLimitsRecorded,
+    RecordRateLimits,
     list_changes,
-    list_untold,
+    list_unreported,
 )
-from damsonlane.ratelimit._report import RateWord
-from damsonlane.ratelimit._table import UNLIMITED_RATE, RateLimitBook
+from damsonlane.ratelimit._report import RateLimitReport
+from damsonlane.ratelimit._table import UNLIMITED_RATE, RateLimitTable
 
 __all__ = [
     "MIN_RATE",
-    "SECOND_SHARE",
+    "NON_OWNER_SHARE",
     "UNLIMITED_RATE",
-    "NoteRateLimits",
+    "RecordRateLimits",
     "Permit",
     "PermitIssuer",
-    "PermitOrder",
+    "PermitRequest",
     "RateBucket",
-    "RateLimitBook",
+    "RateLimitTable",
     "RateLimitList",
     "RateLimitRegistry",
-    "RateLimitsNoted",
-    "RateWord",
+    "RateLimitsRecorded",
+    "RateLimitReport",
     "list_changes",
-    "list_untold",
+    "list_unreported",
 ]
--- a/packages/damsonlane/src/damsonlane/ratelimit/_bucket.py
+++ b/packages/damsonlane/src/damsonlane/ratelimit/_bucket.py
@@ -35,7 +35,7 @@
         self._refill(now)
         return max(0.0, (1.0 - self._tokens) / self._rate)
 
-    def take(self, now: float) -> bool:
+    def try_acquire(self, now: float) -> bool:
         """Take a token for a request that is sent now; return whether there was one."""
         if self.wait_seconds(now) > 0:
             return False
--- a/packages/damsonlane/src/damsonlane/ratelimit/_issuer.py
+++ b/packages/damsonlane/src/damsonlane/ratelimit/_issuer.py
@@ -10,8 +10,8 @@
 
 from damsonlane.backoff import TargetIncarnation
 from damsonlane.ratelimit._bucket import BURST_SECONDS, RateBucket
-from damsonlane.ratelimit._permits import Permit, PermitOrder
-from damsonlane.ratelimit._table import UNLIMITED_RATE, RateLimitBook
+from damsonlane.ratelimit._permits import Permit, PermitRequest
+from damsonlane.ratelimit._table import UNLIMITED_RATE, RateLimitTable
 
 #: Lowest rate that is issued, in requests a second.  A target that announces a lower one, or 0,
 #: still gets this many requests, since only an answer can end a limit; it tolerates five requests
@@ -20,7 +20,7 @@
 #: Share of a rate that is issued by a box which does not own the service, to boxes that can't
 #: reach the owner or take another box for it.  The owner and two such boxes stay within what a
 #: target tolerates: in four seconds 4.5 + 2 * 0.15 * 4.5 times its rate, of 6 times.
-SECOND_SHARE: Final = 0.15
+NON_OWNER_SHARE: Final = 0.15
 #: Longest time after which a refused caller is asked to retry, in seconds.
 MAX_RETRY_AFTER_SECONDS: Final = 30.0
 
@@ -32,7 +32,7 @@
         book: the limits that targets announced.
     """
 
-    def __init__(self, book: RateLimitBook) -> None:
+    def __init__(self, book: RateLimitTable) -> None:
         self._book: Final = book
         self._buckets: dict[TargetIncarnation, RateBucket] = {}
         self._reserved_until: dict[str, float] = {}
@@ -49,16 +49,16 @@
         bucket = self._find_bucket(named, share, now)
         return bucket.wait_seconds(now) if bucket is not None else 0.0
 
-    def take(self, named: TargetIncarnation, share: float, now: float) -> bool:
+    def try_acquire(self, named: TargetIncarnation, share: float, now: float) -> bool:
         """Count a request that this box sends to a target now; return whether it may be sent."""
         bucket = self._find_bucket(named, share, now)
-        return bucket is None or bucket.take(now)
+        return bucket is None or bucket.try_acquire(now)
 
-    def gap_seconds(self, named: TargetIncarnation, share: float) -> float:
+    def interval_seconds(self, named: TargetIncarnation, share: float) -> float:
         """Return the interval between two permits for a target, in seconds."""
         return 1.0 / self._find_issued_rate(named, share)
 
-    def issue(self, service: str, order: PermitOrder, share: float, now: float) -> Permit:
+    def issue(self, service: str, order: PermitRequest, share: float, now: float) -> Permit:
         """Issue a permit, or return the time after which to ask again.
 
         Args:
@@ -70,8 +70,8 @@
         if order.is_beginning:
             return self._admit(service, order, share, now)
         for named in order.targets:
-            if self.take(named, share, now):
-                report = self._book.find_word(named, now)
+            if self.try_acquire(named, share, now):
+                report = self._book.find_report(named, now)
                 return Permit(number=order.number, target=named.target, words=(report,))
         waits = [self.wait_seconds(named, share, now) for named in order.targets]
         wait = min(waits, default=0.0)
@@ -82,12 +82,12 @@
         )
         return Permit(number=order.number, wait_seconds=wait, return_seconds=retry_after)
 
-    def forget_others(self, known: Collection[TargetIncarnation]) -> None:
+    def retain_only(self, known: Collection[TargetIncarnation]) -> None:
         """Drop the buckets of all targets but the given ones."""
         for named in self._buckets.keys() - set(known):
             del self._buckets[named]
 
-    def _admit(self, service: str, order: PermitOrder, share: float, now: float) -> Permit:
+    def _admit(self, service: str, order: PermitRequest, share: float, now: float) -> Permit:
         """Admit a request that needs a permit once its stages are computed.
 
         Admits requests at the rate at which they can be sent later, so that no stages are
--- a/packages/damsonlane/src/damsonlane/ratelimit/_permits.py
+++ b/packages/damsonlane/src/damsonlane/ratelimit/_permits.py
@@ -3,11 +3,11 @@
 from dataclasses import dataclass
 
 from damsonlane.backoff import TargetIncarnation
-from damsonlane.ratelimit._report import RateWord
+from damsonlane.ratelimit._report import RateLimitReport
 
 
 @dataclass(frozen=True, kw_only=True)
-class PermitOrder:
+class PermitRequest:
     """A box's request for a permit to send one request to one of several targets."""
 
     #: Chosen by the sender; repeated in the permit.
@@ -36,4 +36,4 @@
     #: Seconds after which the caller should retry, if it is refused.
     return_seconds: float = 0.0
     #: What the owner knows of the target's limit.
-    words: tuple[RateWord, ...] = ()
+    words: tuple[RateLimitReport, ...] = ()
--- a/packages/damsonlane/src/damsonlane/ratelimit/_registry.py
+++ b/packages/damsonlane/src/damsonlane/ratelimit/_registry.py
@@ -9,8 +9,8 @@
 from typing import Final, Literal
 
 from damsonlane.backoff import TargetIncarnation
-from damsonlane.ratelimit._report import RateWord
-from damsonlane.ratelimit._table import RateLimitBook
+from damsonlane.ratelimit._report import RateLimitReport
+from damsonlane.ratelimit._table import RateLimitTable
 
 #: Ratio by which a rate must differ from the listed one to be reported again.  Boxes that ask the
 #: owner for permits need not know the exact rate, and a new owner gets it with the first order.
@@ -20,16 +20,16 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class NoteRateLimits:
+class RecordRateLimits:
     """Command: record that targets announced limits, or ended them."""
 
     kind: Literal["note-rate-limits"] = "note-rate-limits"
     #: What they announced.
-    words: tuple[RateWord, ...]
+    words: tuple[RateLimitReport, ...]
 
 
 @dataclass(frozen=True, kw_only=True)
-class RateLimitsNoted:
+class RateLimitsRecorded:
     """The reply."""
 
     kind: Literal["rate-limits-noted"] = "rate-limits-noted"
@@ -44,7 +44,7 @@
     #: Number of changes so far; a lower one is older.
     revision: int = 0
     #: The limits in force.
-    words: tuple[RateWord, ...] = ()
+    words: tuple[RateLimitReport, ...] = ()
 
 
 class RateLimitRegistry:
@@ -59,16 +59,16 @@
         """Return all limits."""
         return RateLimitList(revision=self.revision, words=tuple(self._reports.values()))
 
-    def apply(self, command: NoteRateLimits) -> RateLimitsNoted:
+    def apply(self, command: RecordRateLimits) -> RateLimitsRecorded:
         """Apply one command."""
         before = dict(self._reports)
         for report in command.words:
             self._reports.pop(report.named, None)
             if report.rate is not None:
-                self._reports[report.named] = RateWord(named=report.named, rate=report.rate)
+                self._reports[report.named] = RateLimitReport(named=report.named, rate=report.rate)
         for named in list(self._reports)[:-MAX_LIMITS]:
             del self._reports[named]
-        return RateLimitsNoted(is_changed=self._count_change(before))
+        return RateLimitsRecorded(is_changed=self._count_change(before))
 
     def forget(self, target: str, start: int = -1) -> None:
         """Remove the limits of a target, except those of one incarnation.
@@ -83,24 +83,26 @@
                 del self._reports[named]
         self._count_change(before)
 
-    def _count_change(self, before: dict[TargetIncarnation, RateWord]) -> bool:
+    def _count_change(self, before: dict[TargetIncarnation, RateLimitReport]) -> bool:
         is_changed = before != self._reports
         self.revision += is_changed
         return is_changed
 
 
-def list_changes(before: RateLimitList, after: RateLimitList) -> tuple[RateWord, ...]:
+def list_changes(before: RateLimitList, after: RateLimitList) -> tuple[RateLimitReport, ...]:
     """Return the limits that changed from one list to a newer one, with age 0."""
     old = {report.named: report.rate for report in before.words}
     new = {report.named: report.rate for report in after.words}
     return tuple(
-        RateWord(named=named, rate=new.get(named))
+        RateLimitReport(named=named, rate=new.get(named))
         for named in old.keys() | new.keys()
         if old.get(named) != new.get(named)
     )
 
 
-def list_untold(book: RateLimitBook, listed: RateLimitList, now: float) -> tuple[RateWord, ...]:
+def list_unreported(
+    book: RateLimitTable, listed: RateLimitList, now: float
+) -> tuple[RateLimitReport, ...]:
     """Return the limits, and ends of limits, that a box knows and the replicated list lacks.
 
     Args:
@@ -109,12 +111,12 @@
         now: the time by the box's clock.
     """
     rates = {report.named: report.rate for report in listed.words}
-    known = {report.named: report for report in book.list_words(now)}
+    known = {report.named: report for report in book.list_reports(now)}
     changed = [
         report for report in known.values() if _differs(rates.get(report.named), report.rate)
     ]
     ended = [named for named in rates if named not in known and book.has_report(named)]
-    return (*changed, *(RateWord(named=named, rate=None) for named in ended))
+    return (*changed, *(RateLimitReport(named=named, rate=None) for named in ended))
 
 
 def _differs(listed: float | None, known: float | None) -> bool:
--- a/packages/damsonlane/src/damsonlane/ratelimit/_report.py
+++ b/packages/damsonlane/src/damsonlane/ratelimit/_report.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class RateWord:
+class RateLimitReport:
     """The limit that a target announced, as one box reports it to another."""
 
     #: The incarnation that announced it.
--- a/packages/damsonlane/src/damsonlane/ratelimit/_table.py
+++ b/packages/damsonlane/src/damsonlane/ratelimit/_table.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 from damsonlane.backoff import TargetIncarnation
-from damsonlane.ratelimit._report import RateWord
+from damsonlane.ratelimit._report import RateLimitReport
 
 #: Rate in requests a second at and above which a limit has no effect: no target is sent that
 #: many requests.
@@ -25,13 +25,13 @@
     at: float
 
 
-class RateLimitBook:
+class RateLimitTable:
     """The newest report of each target, from its own answers or from other boxes."""
 
     def __init__(self) -> None:
         self._limits: dict[TargetIncarnation, _StoredLimit] = {}
 
-    def note(self, report: RateWord, now: float) -> bool:
+    def record(self, report: RateLimitReport, now: float) -> bool:
         """Record what a target announced, unless a newer report is known.
 
         Args:
@@ -68,22 +68,22 @@
         """Return whether no limit or recent end of a limit is recorded."""
         return not self._limits
 
-    def list_words(self, now: float) -> tuple[RateWord, ...]:
+    def list_reports(self, now: float) -> tuple[RateLimitReport, ...]:
         """Return the limits in force, as reported to other boxes."""
         return tuple(
-            RateWord(named=named, rate=limit.rate, age=max(0.0, now - limit.at))
+            RateLimitReport(named=named, rate=limit.rate, age=max(0.0, now - limit.at))
             for named, limit in self._limits.items()
             if limit.rate is not None
         )
 
-    def find_word(self, named: TargetIncarnation, now: float) -> RateWord:
+    def find_report(self, named: TargetIncarnation, now: float) -> RateLimitReport:
         """Return the limit of a target, as reported to other boxes."""
         limit = self._limits.get(named)
         if limit is None:
-            return RateWord(named=named, rate=None)
-        return RateWord(named=named, rate=limit.rate, age=max(0.0, now - limit.at))
+            return RateLimitReport(named=named, rate=None)
+        return RateLimitReport(named=named, rate=limit.rate, age=max(0.0, now - limit.at))
 
-    def forget_others(self, known: Collection[TargetIncarnation], now: float) -> None:
+    def retain_only(self, known: Collection[TargetIncarnation], now: float) -> None:
         """Drop incarnations that control no longer lists, and limits that ended long ago.
 
         Args:
--- a/packages/damsonlane/src/damsonlane/ratelimit/tests/replay.py
+++ b/packages/damsonlane/src/damsonlane/ratelimit/tests/replay.py
@@ -14,12 +14,12 @@
 
 from damsonlane.backoff import TargetIncarnation
 from damsonlane.ratelimit import (
-    SECOND_SHARE,
+    NON_OWNER_SHARE,
     PermitIssuer,
-    PermitOrder,
+    PermitRequest,
     RateBucket,
-    RateLimitBook,
-    RateWord,
+    RateLimitReport,
+    RateLimitTable,
 )
 
 #: The target.
@@ -98,7 +98,7 @@
         self._buckets = [RateBucket(rate, 0.0) for _ in load.wanted]
 
     def find_send_time(self, box: int, now: float) -> float | None:
-        return now if self._buckets[box].take(now) else None
+        return now if self._buckets[box].try_acquire(now) else None
 
 
 class Adaptive(SharingStrategy):
@@ -115,7 +115,7 @@
 
     def find_send_time(self, box: int, now: float) -> float | None:
         self._buckets[box].set_rate(self._rates[box], now)
-        if not self._buckets[box].take(now):
+        if not self._buckets[box].try_acquire(now):
             return None
         recent = sum(at > now - 1.0 for at in self.outcome.times[-200:])
         if recent > self.load.rate:
@@ -135,7 +135,7 @@
     def find_send_time(self, box: int, now: float) -> float | None:
         issuer, share = self._find_issuer(now)
         self.outcome.messages += 2
-        order = PermitOrder(number=1, targets=(TARGET,))
+        order = PermitRequest(number=1, targets=(TARGET,))
         permit = self._issuers[issuer].issue("s", order, share, now + LATENCY_SECONDS)
         return now + 2 * LATENCY_SECONDS if permit.target else None
 
@@ -145,12 +145,12 @@
         if killed_at is None or now < killed_at:
             return 0, 1.0
         if now < killed_at + FAILOVER_SECONDS:
-            return 1, SECOND_SHARE
+            return 1, NON_OWNER_SHARE
         return 1, 1.0
 
     def _make_issuer(self) -> PermitIssuer:
-        book = RateLimitBook()
-        book.note(RateWord(named=TARGET, rate=self.load.rate), 0.0)
+        book = RateLimitTable()
+        book.record(RateLimitReport(named=TARGET, rate=self.load.rate), 0.0)
         return PermitIssuer(book)
 
 
@@ -167,7 +167,7 @@
             self.outcome.messages += 2
             issuer, share = self._find_issuer(now)
             for _ in range(max(1, int(0.5 * self.load.rate))):
-                order = PermitOrder(number=1, targets=(TARGET,))
+                order = PermitRequest(number=1, targets=(TARGET,))
                 if not self._issuers[issuer].issue("s", order, share, now).target:
                     break
                 leases.append(now + 0.5)
--- a/packages/damsonlane/src/damsonlane/ratelimit/tests/test_issuer.py
+++ b/packages/damsonlane/src/damsonlane/ratelimit/tests/test_issuer.py
@@ -10,13 +10,13 @@
 from damsonlane.backoff import TargetIncarnation
 from damsonlane.ratelimit import (
     MIN_RATE,
-    SECOND_SHARE,
+    NON_OWNER_SHARE,
     UNLIMITED_RATE,
     PermitIssuer,
-    PermitOrder,
+    PermitRequest,
     RateBucket,
-    RateLimitBook,
-    RateWord,
+    RateLimitReport,
+    RateLimitTable,
 )
 
 DESK = TargetIncarnation(target="d1", address="127.0.0.1:1")
@@ -26,42 +26,42 @@
 class RateBucketTest(unittest.TestCase):
     def test_it_starts_empty_and_fills_at_its_rate(self) -> None:
         bucket = RateBucket(2.0, 0.0)
-        self.assertFalse(bucket.take(0.4))
+        self.assertFalse(bucket.try_acquire(0.4))
         self.assertAlmostEqual(bucket.wait_seconds(0.4), 0.1)
-        self.assertTrue(bucket.take(0.5))
-        self.assertFalse(bucket.take(0.9))
+        self.assertTrue(bucket.try_acquire(0.5))
+        self.assertFalse(bucket.try_acquire(0.9))
 
     def test_unused_tokens_accumulate_up_to_the_burst(self) -> None:
         bucket = RateBucket(4.0, 0.0)
-        taken = [bucket.take(100.0) for _ in range(5)]
+        taken = [bucket.try_acquire(100.0) for _ in range(5)]
         self.assertEqual(taken.count(True), 3)
 
     def test_a_lower_rate_applies_at_once(self) -> None:
         bucket = RateBucket(10.0, 0.0)
         bucket.set_rate(0.1, 100.0)
-        self.assertTrue(bucket.take(100.0))
-        self.assertFalse(bucket.take(101.0))
+        self.assertTrue(bucket.try_acquire(100.0))
+        self.assertFalse(bucket.try_acquire(101.0))
 
     def test_a_clock_that_goes_back_adds_no_tokens(self) -> None:
         bucket = RateBucket(1.0, 100.0)
-        self.assertFalse(bucket.take(50.0))
-        self.assertFalse(bucket.take(50.5))
-        self.assertTrue(bucket.take(51.5))
+        self.assertFalse(bucket.try_acquire(50.0))
+        self.assertFalse(bucket.try_acquire(50.5))
+        self.assertTrue(bucket.try_acquire(51.5))
 
 
 class PermitIssuerTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.book = RateLimitBook()
+        self.book = RateLimitTable()
         self.issuer = PermitIssuer(self.book)
 
     def announce(
         self, rate: float | None, now: float = 0.0, named: TargetIncarnation = DESK
     ) -> None:
-        self.book.note(RateWord(named=named, rate=rate), now)
+        self.book.record(RateLimitReport(named=named, rate=rate), now)
         self.issuer.wait_seconds(named, 1.0, now)
 
     def count(self, times: Sequence[float], named: TargetIncarnation = DESK) -> int:
-        return sum(self.issuer.take(named, 1.0, at) for at in times)
+        return sum(self.issuer.try_acquire(named, 1.0, at) for at in times)
 
     def test_rates_below_the_minimum_and_above_the_maximum(self) -> None:
         many = [step / 100 for step in range(10_000)]
@@ -96,7 +96,7 @@
     def test_the_permit_is_for_the_first_target_that_has_a_token(self) -> None:
         self.announce(1.0)
         self.announce(1.0, named=OTHER)
-        order = PermitOrder(number=3, targets=(DESK, OTHER))
+        order = PermitRequest(number=3, targets=(DESK, OTHER))
         targets = [self.issuer.issue("s", order, 1.0, 1.0).target for _ in range(3)]
         self.assertEqual(targets, ["d1", "d2", ""])
         denied = self.issuer.issue("s", order, 1.0, 1.0)
@@ -106,7 +106,7 @@
     def test_refused_callers_retry_one_after_the_other(self) -> None:
         """If all retried at the same time, all but one would be refused again."""
         self.announce(2.0)
-        order = PermitOrder(number=1, targets=(DESK,), is_last=True)
+        order = PermitRequest(number=1, targets=(DESK,), is_last=True)
         retries = [self.issuer.issue("s", order, 1.0, 0.0).return_seconds for _ in range(4)]
         self.assertEqual([round(retry_after, 3) for retry_after in retries], [0.5, 1.0, 1.5, 2.0])
         self.assertEqual(self.issuer.issue("s", order, 1.0, 60.0).target, "d1")
@@ -114,7 +114,7 @@
     def test_as_many_requests_are_admitted_as_can_be_sent(self) -> None:
         self.announce(1.0)
         self.announce(1.0, named=OTHER)
-        order = PermitOrder(number=1, targets=(DESK, OTHER), is_beginning=True, is_last=True)
+        order = PermitRequest(number=1, targets=(DESK, OTHER), is_beginning=True, is_last=True)
         times = [step / 10 for step in range(100)]
         admitted = [at for at in times if self.issuer.issue("s", order, 1.0, at).may_begin]
         self.assertAlmostEqual(len(admitted), 20, delta=2)
@@ -123,7 +123,7 @@
 
     def test_removed_targets_lose_their_buckets(self) -> None:
         self.announce(1.0)
-        self.issuer.forget_others([])
+        self.issuer.retain_only([])
         self.assertEqual(self.count([5.0]), 0)
 
 
@@ -141,15 +141,15 @@
     ) -> None:
         issuers = []
         for _ in range(3):
-            book = RateLimitBook()
-            book.note(RateWord(named=DESK, rate=rate), 0.0)
+            book = RateLimitTable()
+            book.record(RateLimitReport(named=DESK, rate=rate), 0.0)
             issuers.append(PermitIssuer(book))
         times: list[float] = []
         now = 0.0
         for gap, box in zip(gaps, boxes, strict=False):
             now += gap
-            share = 1.0 if box == 0 else SECOND_SHARE
-            while issuers[box].take(DESK, share, now):
+            share = 1.0 if box == 0 else NON_OWNER_SHARE
+            while issuers[box].try_acquire(DESK, share, now):
                 times.append(now)
         for begin in times:
             count = sum(begin <= at < begin + 4.0 for at in times)
--- a/packages/damsonlane/src/damsonlane/ratelimit/tests/test_registry.py
+++ b/packages/damsonlane/src/damsonlane/ratelimit/tests/test_registry.py
@@ -5,11 +5,11 @@
 from damsonlane.backoff import TargetIncarnation
 from damsonlane.cluster import ClusterState, decode_command, encode_command
 from damsonlane.ratelimit import (
-    NoteRateLimits,
-    RateLimitBook,
     RateLimitRegistry,
-    RateWord,
-    list_untold,
+    RateLimitReport,
+    RateLimitTable,
+    RecordRateLimits,
+    list_unreported,
 )
 from damsonlane.targets import RegisterTarget, RemoveTarget, TargetRecord
 
@@ -27,8 +27,10 @@
 )
 
 
-def make_command(*words: tuple[TargetIncarnation, float | None]) -> NoteRateLimits:
-    return NoteRateLimits(words=tuple(RateWord(named=named, rate=rate) for named, rate in words))
+def make_command(*words: tuple[TargetIncarnation, float | None]) -> RecordRateLimits:
+    return RecordRateLimits(
+        words=tuple(RateLimitReport(named=named, rate=rate) for named, rate in words)
+    )
 
 
 class RateLimitRegistryTest(unittest.TestCase):
@@ -51,20 +53,22 @@
         self.assertEqual(self.registry.list_all().words, ())
 
     def test_only_new_ended_and_much_changed_limits_are_reported(self) -> None:
-        book = RateLimitBook()
+        book = RateLimitTable()
         listed = self.registry.list_all()
-        self.assertEqual(list_untold(book, listed, 0.0), ())
-        book.note(RateWord(named=DESK, rate=1.0), 0.0)
-        self.assertEqual([report.rate for report in list_untold(book, listed, 0.0)], [1.0])
+        self.assertEqual(list_unreported(book, listed, 0.0), ())
+        book.record(RateLimitReport(named=DESK, rate=1.0), 0.0)
+        self.assertEqual([report.rate for report in list_unreported(book, listed, 0.0)], [1.0])
         self.registry.apply(make_command((DESK, 1.0), (PIPELINE, 3.0)))
         listed = self.registry.list_all()
         # Small changes are not reported, nor are limits that this table does not know.
-        book.note(RateWord(named=DESK, rate=1.4), 1.0)
-        self.assertEqual(list_untold(book, listed, 1.0), ())
-        book.note(RateWord(named=DESK, rate=0.5), 2.0)
-        self.assertEqual([report.rate for report in list_untold(book, listed, 2.0)], [0.5])
-        book.note(RateWord(named=DESK, rate=None), 3.0)
-        self.assertEqual(list_untold(book, listed, 3.0), (RateWord(named=DESK, rate=None),))
+        book.record(RateLimitReport(named=DESK, rate=1.4), 1.0)
+        self.assertEqual(list_unreported(book, listed, 1.0), ())
+        book.record(RateLimitReport(named=DESK, rate=0.5), 2.0)
+        self.assertEqual([report.rate for report in list_unreported(book, listed, 2.0)], [0.5])
+        book.record(RateLimitReport(named=DESK, rate=None), 3.0)
+        self.assertEqual(
+            list_unreported(book, listed, 3.0), (RateLimitReport(named=DESK, rate=None),)
+        )
 
 
 class ReplicatedLimitsTest(unittest.TestCase):
--- a/packages/damsonlane_rpc/src/damsonlane_rpc/_fleet_messages.py
+++ b/packages/damsonlane_rpc/src/damsonlane_rpc/_fleet_messages.py
@@ -11,7 +11,7 @@
 from damsonlane.placement import Placement, PlacementRequest, PromptOutcome
 from damsonlane.pools import PieceOrder, PieceResult
 from damsonlane.quarantine import QuarantineList
-from damsonlane.ratelimit import Permit, PermitOrder, RateLimitList, RateWord
+from damsonlane.ratelimit import Permit, PermitRequest, RateLimitList, RateLimitReport
 from damsonlane.targets import TargetChanges
 from damsonlane_rpc._messages import Done, NotLeader, WatchReport
 
@@ -115,9 +115,9 @@
     #: Outcomes of placed prompts.
     reads: tuple[PromptOutcome, ...] = ()
     #: Requests that need permits, since their targets announced rate limits.
-    permits: tuple[PermitOrder, ...] = ()
+    permits: tuple[PermitRequest, ...] = ()
     #: Rate limits that targets of the service announced, as the sender knows them.
-    words: tuple[RateWord, ...] = ()
+    words: tuple[RateLimitReport, ...] = ()
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/packages/damsonlane_rpc/src/damsonlane_rpc/_permit_messages.py
+++ b/packages/damsonlane_rpc/src/damsonlane_rpc/_permit_messages.py
@@ -5,7 +5,7 @@
 
 from pydantic import Field
 
-from damsonlane.ratelimit import Permit, PermitOrder, RateWord
+from damsonlane.ratelimit import Permit, PermitRequest, RateLimitReport
 from damsonlane_rpc._messages import NotLeader
 
 
@@ -16,9 +16,9 @@
     #: Service of the targets for which permits are requested.
     service: str = ""
     #: Requests that need permits.
-    orders: tuple[PermitOrder, ...] = ()
+    orders: tuple[PermitRequest, ...] = ()
     #: Rate limits that targets of any service announced.
-    words: tuple[RateWord, ...] = ()
+    words: tuple[RateLimitReport, ...] = ()
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/packages/damsonlaned/src/damsonlaned/control/_rate_limits.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_rate_limits.py
@@ -14,11 +14,11 @@
 
 from damsonlane.errors import NotLeaderError, UnavailableError
 from damsonlane.ratelimit import (
-    NoteRateLimits,
     PermitIssuer,
-    RateLimitBook,
-    RateWord,
-    list_untold,
+    RateLimitReport,
+    RateLimitTable,
+    RecordRateLimits,
+    list_unreported,
 )
 from damsonlane_rpc import PERMIT, NotLeader, PermitBatchReply, PermitBatchRequest, Permits
 from damsonlaned.control._node import ControlNode
@@ -43,7 +43,7 @@
 
     def __init__(self, node: ControlNode) -> None:
         self._node: Final = node
-        self._table = RateLimitBook()
+        self._table = RateLimitTable()
         self._issuer = PermitIssuer(self._table)
         self._term = 0
         self._task: asyncio.Task[None] | None = None
@@ -75,7 +75,7 @@
         self._begin_term(replica.term)
         now = self._node.now()
         for report in request.words:
-            if self._table.note(report, now):
+            if self._table.record(report, now):
                 # Starts to fill the token bucket now, not at the first request for a permit.
                 self._issuer.wait_seconds(report.named, 1.0, now)
         issued = (self._issuer.issue(request.service, order, 1.0, now) for order in request.orders)
@@ -90,11 +90,11 @@
         if term == self._term:
             return
         self._term = term
-        self._table = RateLimitBook()
+        self._table = RateLimitTable()
         self._issuer = PermitIssuer(self._table)
         for report in self._node.state.rate_limits.list_all().words:
-            self._table.note(
-                RateWord(named=report.named, rate=report.rate, age=LISTED_AGE_SECONDS),
+            self._table.record(
+                RateLimitReport(named=report.named, rate=report.rate, age=LISTED_AGE_SECONDS),
                 self._node.now(),
             )
 
@@ -105,13 +105,13 @@
             if replica is None or not replica.is_leader or replica.term != self._term:
                 continue
             replicated = self._node.state.rate_limits.list_all()
-            reports = list_untold(self._table, replicated, self._node.now())
+            reports = list_unreported(self._table, replicated, self._node.now())
             if reports:
                 await self._commit(reports)
 
-    async def _commit(self, reports: tuple[RateWord, ...]) -> None:
+    async def _commit(self, reports: tuple[RateLimitReport, ...]) -> None:
         try:
-            await self._node.submit([NoteRateLimits(words=reports)])
+            await self._node.submit([RecordRateLimits(words=reports)])
         except (NotLeaderError, UnavailableError) as error:
             # The next turn of the loop commits them.
             _LOG.info("rate limits not committed", extra={"fault": str(error)})
--- a/packages/damsonlaned/src/damsonlaned/control/tests/test_rate_limits.py
+++ b/packages/damsonlaned/src/damsonlaned/control/tests/test_rate_limits.py
@@ -1,7 +1,7 @@
 """Rate limits at control: replication, and permits from the leader."""
 
 from damsonlane.backoff import TargetIncarnation
-from damsonlane.ratelimit import Permit, PermitOrder, RateWord
+from damsonlane.ratelimit import Permit, PermitRequest, RateLimitReport
 from damsonlane_rpc import PermitBatchRequest
 from damsonlaned.control.tests.boxes import TEST_TIMEOUT_SECONDS, Box, GroupCase
 
@@ -11,9 +11,11 @@
 
 
 class RateLimitServiceTest(GroupCase):
-    async def request_permits(self, *reports: RateWord, count: int = 1) -> tuple[Permit, ...]:
+    async def request_permits(
+        self, *reports: RateLimitReport, count: int = 1
+    ) -> tuple[Permit, ...]:
         """Request permits from the leader."""
-        orders = tuple(PermitOrder(number=number, targets=(TARGET,)) for number in range(count))
+        orders = tuple(PermitRequest(number=number, targets=(TARGET,)) for number in range(count))
         request = PermitBatchRequest(service="encode", orders=orders, words=reports)
         return await self.running[0].client.request_permits(request, TEST_TIMEOUT_SECONDS)
 
@@ -31,9 +33,9 @@
     async def test_the_begin_and_end_of_a_limit_are_replicated(self) -> None:
         await self.start(0, 1, 2, is_first_start=True)
         await self.wait_for_voters(0, 1, 2)
-        await self.request_permits(RateWord(named=TARGET, rate=RATE), count=0)
+        await self.request_permits(RateLimitReport(named=TARGET, rate=RATE), count=0)
         await self.wait(lambda: self.is_replicated(RATE), "not all replicas know the limit")
-        await self.request_permits(RateWord(named=TARGET, rate=None), count=0)
+        await self.request_permits(RateLimitReport(named=TARGET, rate=None), count=0)
         await self.wait(
             lambda: self.is_replicated(None), "not all replicas know the end of the limit"
         )
@@ -41,7 +43,7 @@
     async def test_a_new_leader_knows_the_limit_and_starts_with_an_empty_bucket(self) -> None:
         await self.start(0, 1, 2, is_first_start=True)
         await self.wait_for_voters(0, 1, 2)
-        await self.request_permits(RateWord(named=TARGET, rate=RATE))
+        await self.request_permits(RateLimitReport(named=TARGET, rate=RATE))
         await self.wait(lambda: self.is_replicated(RATE), "not all replicas know the limit")
         old = self.find_leader()
         await self.stop(self.addresses.index(old.address))
--- a/packages/damsonlaned/src/damsonlaned/entry/_permit_client.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_permit_client.py
@@ -6,7 +6,7 @@
 from typing import Final
 
 from damsonlane.errors import UnavailableError
-from damsonlane.ratelimit import Permit, RateWord
+from damsonlane.ratelimit import Permit, RateLimitReport
 from damsonlane_rpc import ControlClient, PermitBatchRequest
 from damsonlaned.tasks import start_task
 
@@ -30,7 +30,7 @@
         self._loop: Final = asyncio.get_running_loop()
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def report(self, report: RateWord) -> None:
+    def report(self, report: RateLimitReport) -> None:
         """Report a rate limit that a target announced, without waiting."""
         self._loop.call_soon_threadsafe(self._start_report, report)
 
@@ -45,12 +45,12 @@
             _LOG.warning("no permit received in time", extra=fields)
             return None
 
-    def _start_report(self, report: RateWord) -> None:
+    def _start_report(self, report: RateLimitReport) -> None:
         task = start_task(self._send_report(report), "reporting a rate limit to control")
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _send_report(self, report: RateWord) -> None:
+    async def _send_report(self, report: RateLimitReport) -> None:
         try:
             await self._client.request_permits(
                 PermitBatchRequest(words=(report,)), REPORT_TIMEOUT_SECONDS
--- a/packages/damsonlaned/src/damsonlaned/entry/_rate_limited_targets.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_rate_limited_targets.py
@@ -8,10 +8,10 @@
 from damsonlane.backoff import TargetIncarnation
 from damsonlane.ratelimit import (
     Permit,
-    PermitOrder,
-    RateLimitBook,
+    PermitRequest,
     RateLimitList,
-    RateWord,
+    RateLimitReport,
+    RateLimitTable,
     list_changes,
 )
 from damsonlane.routing import Standing
@@ -32,7 +32,7 @@
     def request_permits(self, request: PermitBatchRequest) -> tuple[Permit, ...] | None:
         """Return the issued permits, or None on a timeout."""
 
-    def report(self, report: RateWord) -> None:
+    def report(self, report: RateLimitReport) -> None:
         """Report a rate limit that a target announced, without waiting."""
 
 
@@ -42,7 +42,7 @@
     def request_permits(self, _: PermitBatchRequest) -> None:
         """Return no permits."""
 
-    def report(self, _: RateWord) -> None:
+    def report(self, _: RateLimitReport) -> None:
         """Drop the report."""
 
 
@@ -55,7 +55,7 @@
 
     def __init__(self, source: PermitSource) -> None:
         self._source: Final = source
-        self._table: Final = RateLimitBook()
+        self._table: Final = RateLimitTable()
         self._listed = RateLimitList(revision=-1)
         self._exhausted_until: dict[TargetIncarnation, float] = {}
         self._lock: Final = threading.Lock()
@@ -75,7 +75,7 @@
         incarnation = make_incarnation(service, target, address)
         if rate is None and not may_end:
             return
-        report = RateWord(named=incarnation, rate=rate)
+        report = RateLimitReport(named=incarnation, rate=rate)
         if self._record(report):
             self._source.report(report)
 
@@ -135,8 +135,8 @@
         """
         now = read_clock()
         with self._lock:
-            reports = tuple(self._table.find_word(incarnation, now) for incarnation in targets)
-        order = PermitOrder(number=0, targets=targets, is_last=is_last)
+            reports = tuple(self._table.find_report(incarnation, now) for incarnation in targets)
+        order = PermitRequest(number=0, targets=targets, is_last=is_last)
         permits = self._source.request_permits(
             PermitBatchRequest(service=service, orders=(order,), words=reports)
         )
@@ -156,9 +156,9 @@
                 self._exhausted_until.update(dict.fromkeys(targets, until))
         return permit
 
-    def _record(self, report: RateWord) -> bool:
+    def _record(self, report: RateLimitReport) -> bool:
         with self._lock:
-            is_change = self._table.note(report, read_clock())
+            is_change = self._table.record(report, read_clock())
         if is_change:
             _LOG.info(
                 "rate limit announced",
--- a/packages/damsonlaned/src/damsonlaned/entry/tests/test_rate_limits.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/tests/test_rate_limits.py
@@ -14,7 +14,7 @@
 
 from pydantic import JsonValue
 
-from damsonlane.ratelimit import Permit, PermitIssuer, RateLimitBook, RateWord
+from damsonlane.ratelimit import Permit, PermitIssuer, RateLimitReport, RateLimitTable
 from damsonlane.requests import AttemptResult
 from damsonlane.settings import Tree, check_tree
 from damsonlane_rpc import PermitBatchRequest
@@ -42,7 +42,7 @@
     """Issues permits to all boxes, as the leader of control does."""
 
     def __init__(self) -> None:
-        self._table = RateLimitBook()
+        self._table = RateLimitTable()
         self._issuer = PermitIssuer(self._table)
         self._lock = threading.Lock()
 
@@ -50,12 +50,12 @@
         now = time.monotonic()
         with self._lock:
             for report in request.words:
-                self._table.note(report, now)
+                self._table.record(report, now)
             return tuple(
                 self._issuer.issue(request.service, order, 1.0, now) for order in request.orders
             )
 
-    def report(self, report: RateWord) -> None:
+    def report(self, report: RateLimitReport) -> None:
         self.request_permits(PermitBatchRequest(words=(report,)))
 
 
--- a/packages/damsonlaned/src/damsonlaned/gateway/_limit_reports.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_limit_reports.py
@@ -6,7 +6,7 @@
 
 from damsonlane.backoff import TargetIncarnation
 from damsonlane.errors import UnavailableError
-from damsonlane.ratelimit import RateWord
+from damsonlane.ratelimit import RateLimitReport
 from damsonlane_rpc import ControlClient, PermitBatchRequest
 from damsonlaned.gateway._view import FleetView
 from damsonlaned.tasks import start_task
@@ -32,7 +32,7 @@
     def __init__(self, view: FleetView, client: ControlClient) -> None:
         self._view: Final = view
         self._client: Final = client
-        self._waiting: dict[TargetIncarnation, RateWord] = {}
+        self._waiting: dict[TargetIncarnation, RateLimitReport] = {}
         self._task: asyncio.Task[None] | None = None
         view.limits.on_update(self._enqueue)
 
@@ -42,7 +42,7 @@
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
-    def _enqueue(self, report: RateWord) -> None:
+    def _enqueue(self, report: RateLimitReport) -> None:
         record = self._view.find_target(report.named.target)
         if record is None or not self._view.limits.is_owned(record.service):
             return
--- a/packages/damsonlaned/src/damsonlaned/gateway/_permit_client.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_permit_client.py
@@ -7,7 +7,7 @@
 from typing import Final, Protocol
 
 from damsonlane.backoff import TargetIncarnation
-from damsonlane.ratelimit import Permit, PermitOrder, RateWord
+from damsonlane.ratelimit import Permit, PermitRequest, RateLimitReport
 from damsonlane_rpc import PoolOrders
 from damsonlaned.gateway._view import FleetView
 
@@ -63,7 +63,7 @@
             is_last: whether the request is refused if it gets no permit.
             is_beginning: whether the request still has to run its stages before it is sent.
         """
-        order = PermitOrder(
+        order = PermitRequest(
             number=next(self._numbers),
             targets=tuple(targets),
             is_last=is_last,
@@ -83,7 +83,7 @@
             if pending is not None and not pending.done():
                 pending.set_result(permit)
 
-    async def _ask(self, owner: str, service: str, order: PermitOrder) -> Permit | None:
+    async def _ask(self, owner: str, service: str, order: PermitRequest) -> Permit | None:
         """Return the answer of one owner, or None on a timeout."""
         if owner == self._address:
             return self._view.limits.issue(service, (order,))[0]
@@ -103,7 +103,7 @@
         finally:
             self._pending.pop(order.number, None)
 
-    def _report_to_owner(self, report: RateWord) -> None:
+    def _report_to_owner(self, report: RateLimitReport) -> None:
         """Forward a rate limit that this box received to the owner, which issues the permits."""
         record = self._view.find_target(report.named.target)
         if record is None:
--- a/packages/damsonlaned/src/damsonlaned/gateway/_pool_client.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_pool_client.py
@@ -10,7 +10,7 @@
 from typing import Final
 
 from damsonlane.pools import PieceOrder, PieceResult
-from damsonlane.ratelimit import SECOND_SHARE, RateWord
+from damsonlane.ratelimit import NON_OWNER_SHARE, RateLimitReport
 from damsonlane_rpc import PoolOrders
 from damsonlaned.gateway._owner_choice import OwnerChoice
 from damsonlaned.gateway._owner_link import OnPermits, OnPlacements, OwnerLink
@@ -160,7 +160,7 @@
 
     def _find_share(self, service: str) -> float:
         """Return the share of its targets' rates for which this entry issues permits."""
-        return 1.0 if self._choice.is_listed_owner(service) else SECOND_SHARE
+        return 1.0 if self._choice.is_listed_owner(service) else NON_OWNER_SHARE
 
     def send(self, owner: str, message: PoolOrders) -> None:
         """Send a message to an owner, with the rate limits that its targets announced.
@@ -170,7 +170,7 @@
         reports = (*message.words, *self._list_rate_reports(message.service))
         self._find_link(owner).send(replace(message, words=reports) if reports else message)
 
-    def _list_rate_reports(self, service: str) -> list[RateWord]:
+    def _list_rate_reports(self, service: str) -> list[RateLimitReport]:
         limited = self._view.list_limited(service).values()
         return [report for report in self._view.limits.list_words() if report.named in limited]
 
--- a/packages/damsonlaned/src/damsonlaned/gateway/_rate_limits.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_rate_limits.py
@@ -8,10 +8,10 @@
 from damsonlane.ratelimit import (
     Permit,
     PermitIssuer,
-    PermitOrder,
-    RateLimitBook,
+    PermitRequest,
     RateLimitList,
-    RateWord,
+    RateLimitReport,
+    RateLimitTable,
     list_changes,
 )
 from damsonlaned.dialects import AnswerSigns
@@ -19,7 +19,7 @@
 _LOG: Final = logging.getLogger(__name__)
 
 #: Called with a rate limit report that changes what is known.
-OnReport = Callable[[RateWord], None]
+OnReport = Callable[[RateLimitReport], None]
 
 
 class RateLimits:
@@ -35,7 +35,7 @@
     ) -> None:
         self._clock: Final = clock
         self._find_service: Final = find_service
-        self._book: Final = RateLimitBook()
+        self._book: Final = RateLimitTable()
         self._issuer: Final = PermitIssuer(self._book)
         self._listed = RateLimitList(revision=-1)
         self._received_listeners: list[OnReport] = []
@@ -63,12 +63,12 @@
         """
         if signals.rate_limit is None and not (may_end and self.is_limited(incarnation)):
             return
-        report = RateWord(named=incarnation, rate=signals.rate_limit)
+        report = RateLimitReport(named=incarnation, rate=signals.rate_limit)
         if self._record(report):
             for listener in (*self._received_listeners, *self._update_listeners):
                 listener(report)
 
-    def learn(self, reports: Sequence[RateWord]) -> None:
+    def learn(self, reports: Sequence[RateLimitReport]) -> None:
         """Merge reports that a peer received."""
         for report in reports:
             if self._record(report):
@@ -91,8 +91,8 @@
     def follow(self, known: Collection[TargetIncarnation]) -> None:
         """Forget incarnations that control no longer lists, as targets or as rate limited."""
         listed = {*known, *(report.named for report in self._listed.words)}
-        self._book.forget_others(listed, self._clock())
-        self._issuer.forget_others(listed)
+        self._book.retain_only(listed, self._clock())
+        self._issuer.retain_only(listed)
 
     # Known limits.
 
@@ -104,9 +104,9 @@
         """Return the rate limit of a target in requests per second; None without one."""
         return None if self._book.is_empty() else self._book.find_rate(incarnation)
 
-    def list_words(self) -> tuple[RateWord, ...]:
+    def list_words(self) -> tuple[RateLimitReport, ...]:
         """Return a report of each rate limit in force, to send to a peer."""
-        return () if self._book.is_empty() else self._book.list_words(self._clock())
+        return () if self._book.is_empty() else self._book.list_reports(self._clock())
 
     # Permits that this box issues.
 
@@ -124,22 +124,22 @@
         """Count a request to a target; return whether it may be sent."""
         if not self.is_limited(incarnation):
             return True
-        return self._issuer.take(incarnation, self.find_share(service), self._clock())
+        return self._issuer.try_acquire(incarnation, self.find_share(service), self._clock())
 
     def gap_seconds(self, service: str, incarnation: TargetIncarnation) -> float:
         """Return the seconds between two permits of this box for a target; 0 without a limit."""
         if not self.is_limited(incarnation):
             return 0.0
-        return self._issuer.gap_seconds(incarnation, self.find_share(service))
+        return self._issuer.interval_seconds(incarnation, self.find_share(service))
 
-    def issue(self, service: str, orders: Sequence[PermitOrder]) -> tuple[Permit, ...]:
+    def issue(self, service: str, orders: Sequence[PermitRequest]) -> tuple[Permit, ...]:
         """Answer the permit orders of a box."""
         share = self.find_share(service)
         now = self._clock()
         return tuple(self._issuer.issue(service, order, share, now) for order in orders)
 
-    def _record(self, report: RateWord) -> bool:
-        is_new = self._book.note(report, self._clock())
+    def _record(self, report: RateLimitReport) -> bool:
+        is_new = self._book.record(report, self._clock())
         if is_new:
             # Create the token bucket now, so that it fills before the first permit is ordered.
             self.wait_seconds(self._find_service(report.named), report.named)
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_rate_limit_ends.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_rate_limit_ends.py
@@ -8,7 +8,7 @@
 
 from damsonlane.backoff import TargetIncarnation
 from damsonlane.pools import PieceOrder
-from damsonlane.ratelimit import SECOND_SHARE, RateLimitList, RateWord
+from damsonlane.ratelimit import NON_OWNER_SHARE, RateLimitList, RateLimitReport
 from damsonlane.targets import TargetRecord
 from damsonlaned.gateway import _permit_client
 from damsonlaned.gateway.tests.fleet import Fleet
@@ -78,7 +78,7 @@
         await self.call_all(entry, 1)
         incarnation = TargetIncarnation.of(records[0])
         for rate in (7.0, 0.5):
-            entry.view.limits.learn([RateWord(named=incarnation, rate=rate)])
+            entry.view.limits.learn([RateLimitReport(named=incarnation, rate=rate)])
             self.assertEqual(entry.view.limits.find_rate(incarnation), rate)
 
     async def test_new_incarnation_has_no_rate_limit(self) -> None:
@@ -164,7 +164,7 @@
     async def test_box_needs_a_permit_as_soon_as_control_lists_the_limit(self) -> None:
         target = StandIn("t1", work((SLOW_HEADER,)))
         fleet, records = await self.start(target)
-        report = RateWord(named=TargetIncarnation.of(records[0]), rate=SLOW)
+        report = RateLimitReport(named=TargetIncarnation.of(records[0]), rate=SLOW)
         for entry in fleet.entries:
             entry.view.limits.put(RateLimitList(revision=1, words=(report,)))
         statuses = [(await entry.call("/plain/a")).status for entry in fleet.entries]
@@ -189,9 +189,9 @@
         incarnation = TargetIncarnation.of(records[0])
         owner = self.find_owner(fleet, "desk")
         asker = next(entry for entry in fleet.entries if entry is not owner)
-        asker.view.limits.learn([RateWord(named=incarnation, rate=SLOW, age=5.0)])
-        owner.view.limits.learn([RateWord(named=incarnation, rate=SLOW, age=5.0)])
-        owner.view.limits.learn([RateWord(named=incarnation, rate=None, age=1.0)])
+        asker.view.limits.learn([RateLimitReport(named=incarnation, rate=SLOW, age=5.0)])
+        owner.view.limits.learn([RateLimitReport(named=incarnation, rate=SLOW, age=5.0)])
+        owner.view.limits.learn([RateLimitReport(named=incarnation, rate=None, age=1.0)])
         with mock.patch.object(_permit_client, "ANSWER_SECONDS", PATIENCE):
             self.assertEqual((await asker.call("/plain/a")).status, 200)
         self.assertFalse(asker.view.limits.is_limited(incarnation))
@@ -203,12 +203,12 @@
         owner = self.find_owner(fleet, "desk")
         other = next(entry for entry in fleet.entries if entry is not owner)
         for entry in fleet.entries:
-            entry.view.limits.learn([RateWord(named=incarnation, rate=100.0)])
+            entry.view.limits.learn([RateLimitReport(named=incarnation, rate=100.0)])
             self.assertEqual(count_permits(entry, incarnation), 0)
         await asyncio.sleep(1.0)
         # Each saves up permits for at most half a second, plus one.
         self.assertGreater(count_permits(owner, incarnation), 40)
-        self.assertLessEqual(count_permits(other, incarnation), SECOND_SHARE * 50 + 1)
+        self.assertLessEqual(count_permits(other, incarnation), NON_OWNER_SHARE * 50 + 1)
         # Once control no longer lists the owner, the next one issues the full rate.
         fleet.list_entries([entry for entry in fleet.entries if entry is not owner])
         second = self.find_owner(fleet, "desk")
@@ -223,7 +223,7 @@
         gone = "127.0.0.1:1"
         asker = fleet.entries[0]
         for entry in fleet.entries:
-            entry.view.limits.learn([RateWord(named=incarnation, rate=500.0)])
+            entry.view.limits.learn([RateLimitReport(named=incarnation, rate=500.0)])
             count_permits(entry, incarnation)
         await asyncio.sleep(0.2)
         owners = (gone, fleet.entries[1].address)
@@ -242,7 +242,7 @@
         incarnation = TargetIncarnation.of(records[0])
         owner = self.find_owner(fleet, "pool")
         asker = next(entry for entry in fleet.entries if entry is not owner)
-        asker.view.limits.learn([RateWord(named=incarnation, rate=SLOW)])
+        asker.view.limits.learn([RateLimitReport(named=incarnation, rate=SLOW)])
         asker.pools.order("pool", [make_order()])
         await wait(lambda: owner.view.limits.is_limited(incarnation))
 
