--- a/packages/damsonlane/src/damsonlane/cluster/_state.py
+++ b/packages/damsonlane/src/damsonlane/cluster/_state.py
@@ -40,12 +40,12 @@
 )
 from damsonlane.membership import BoxNoted, BoxRecord, LoseBox, Membership, NoteBox
 from damsonlane.quarantine import (
-    ForgetTargetEnds,
-    NoteSurvived,
-    NoteTargetEnd,
-    QuarantineBook,
-    QuarantineNoted,
+    ForgetTargetExits,
+    QuarantineRecorded,
+    QuarantineRegistry,
     QuarantineSnapshot,
+    RecordServed,
+    RecordTargetExit,
     ReleaseRequest,
 )
 from damsonlane.ratelimit import (
@@ -78,10 +78,10 @@
     | SilenceTargets
     | EvacuateDataCentre
     | RestoreDataCentre
-    | NoteTargetEnd
-    | NoteSurvived
+    | RecordTargetExit
+    | RecordServed
     | ReleaseRequest
-    | ForgetTargetEnds
+    | ForgetTargetExits
     | RecordRateLimits,
     Field(discriminator="kind"),
 ]
@@ -95,7 +95,7 @@
     | DocumentNoted
     | TargetNoted
     | EvacuationNoted
-    | QuarantineNoted
+    | QuarantineRecorded
     | RateLimitsRecorded,
     Field(discriminator="kind"),
 ]
@@ -154,7 +154,7 @@
         self.documents = DocumentStore(start.document)
         self.targets = TargetRegistry(start.targets)
         self.evacuations = Evacuations(start.evacuations)
-        self.quarantine = QuarantineBook(start.quarantine)
+        self.quarantine = QuarantineRegistry(start.quarantine)
         self.rate_limits = RateLimitRegistry(start.rate_limits)
 
     @classmethod
@@ -201,7 +201,7 @@
                 return reply
             case EvacuateDataCentre() | RestoreDataCentre():
                 return self.evacuations.apply(command)
-            case NoteTargetEnd() | NoteSurvived() | ReleaseRequest() | ForgetTargetEnds():
+            case RecordTargetExit() | RecordServed() | ReleaseRequest() | ForgetTargetExits():
                 return self.quarantine.apply(command)
             case RecordRateLimits():
                 return self.rate_limits.apply(command)
--- a/packages/damsonlane/src/damsonlane/quarantine/__init__.py
+++ b/packages/damsonlane/src/damsonlane/quarantine/__init__.py
@@ -4,43 +4,43 @@
 were served determine the list of requests that are sent to no target.
 """
 
-from damsonlane.quarantine._attribution import ENDS_TO_HOLD, ENDS_TO_HOLD_ALIKE
+from damsonlane.quarantine._attribution import EXITS_TO_QUARANTINE, EXITS_TO_QUARANTINE_TIED
 from damsonlane.quarantine._exits import (
-    BrokenRun,
-    ForgetTargetEnds,
-    NoteSurvived,
-    NoteTargetEnd,
+    ForgetTargetExits,
+    InterruptedRequest,
+    RecordServed,
+    RecordTargetExit,
     ReleaseRequest,
     TargetExit,
 )
 from damsonlane.quarantine._fingerprint import find_fingerprint
 from damsonlane.quarantine._registry import (
-    COUNTED_SECONDS,
-    MOST_ENDS,
-    HeldRequest,
-    QuarantineBook,
+    EXIT_WINDOW_SECONDS,
+    MAX_EXITS,
     QuarantineCommand,
+    QuarantinedRequest,
     QuarantineList,
-    QuarantineNoted,
+    QuarantineRecorded,
+    QuarantineRegistry,
     QuarantineSnapshot,
 )
 from damsonlane.quarantine._served import SERVED_SECONDS, RecentlyServed
 
 __all__ = [
-    "COUNTED_SECONDS",
-    "ENDS_TO_HOLD",
-    "ENDS_TO_HOLD_ALIKE",
-    "MOST_ENDS",
+    "EXIT_WINDOW_SECONDS",
+    "EXITS_TO_QUARANTINE",
+    "EXITS_TO_QUARANTINE_TIED",
+    "MAX_EXITS",
     "SERVED_SECONDS",
-    "BrokenRun",
-    "ForgetTargetEnds",
-    "HeldRequest",
-    "NoteSurvived",
-    "NoteTargetEnd",
-    "QuarantineBook",
+    "InterruptedRequest",
+    "ForgetTargetExits",
+    "QuarantinedRequest",
+    "RecordServed",
+    "RecordTargetExit",
+    "QuarantineRegistry",
     "QuarantineCommand",
     "QuarantineList",
-    "QuarantineNoted",
+    "QuarantineRecorded",
     "QuarantineSnapshot",
     "ReleaseRequest",
     "RecentlyServed",
--- a/packages/damsonlane/src/damsonlane/quarantine/_attribution.py
+++ b/packages/damsonlane/src/damsonlane/quarantine/_attribution.py
@@ -12,10 +12,10 @@
 
 #: Exits of targets after which a request that was in progress there is quarantined.  With two,
 #: requests that were resumed once and were next to the cause both times would be quarantined too.
-ENDS_TO_HOLD: Final = 3
+EXITS_TO_QUARANTINE: Final = 3
 #: Exits after which a request is quarantined even though another one is part of the same exits.
 #: Such requests can't be told apart, so all of them are refused rather than more targets lost.
-ENDS_TO_HOLD_ALIKE: Final = 6
+EXITS_TO_QUARANTINE_TIED: Final = 6
 
 #: Exits by their identity.
 ExitsByIdentity = Mapping[tuple[str, int], TargetExit]
@@ -34,11 +34,11 @@
     causes: dict[str, tuple[TargetExit, ...]] = {}
     while remaining:
         first = min(remaining, key=lambda name: _sort_key(name, remaining[name]))
-        if len(remaining[first]) < ENDS_TO_HOLD:
+        if len(remaining[first]) < EXITS_TO_QUARANTINE:
             break
         tied = [name for name in remaining if remaining[name].keys() == remaining[first].keys()]
         explained = remaining[first]
-        if len(tied) == 1 or len(explained) >= ENDS_TO_HOLD_ALIKE:
+        if len(tied) == 1 or len(explained) >= EXITS_TO_QUARANTINE_TIED:
             causes.update({name: tuple(explained.values()) for name in tied})
             remaining = _drop_explained(remaining, explained)
         for name in tied:
--- a/packages/damsonlane/src/damsonlane/quarantine/_exits.py
+++ b/packages/damsonlane/src/damsonlane/quarantine/_exits.py
@@ -5,7 +5,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class BrokenRun:
+class InterruptedRequest:
     """A request whose answer was interrupted when its target exited."""
 
     #: Fingerprint of the request.
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class NoteTargetEnd:
+class RecordTargetExit:
     """Command: record that a target exited while it had requests."""
 
     kind: Literal["note-target-end"] = "note-target-end"
@@ -27,13 +27,13 @@
     #: apart by their time.
     is_name_kept: bool = False
     #: The requests that one box had in progress there.
-    runs: tuple[BrokenRun, ...]
+    runs: tuple[InterruptedRequest, ...]
     #: When it was reported to control, in seconds since 1970.
     at: float = 0.0
 
 
 @dataclass(frozen=True, kw_only=True)
-class NoteSurvived:
+class RecordServed:
     """Command: record that targets served requests, so that these are not the cause of exits."""
 
     kind: Literal["note-survived"] = "note-survived"
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class ForgetTargetEnds:
+class ForgetTargetExits:
     """Command: remove old exits."""
 
     kind: Literal["forget-target-ends"] = "forget-target-ends"
@@ -75,7 +75,7 @@
     #: When it was first reported to control, in seconds since 1970.
     at: float
     #: The requests, each once.
-    runs: tuple[BrokenRun, ...]
+    runs: tuple[InterruptedRequest, ...]
 
     @property
     def identity(self) -> tuple[str, int]:
--- a/packages/damsonlane/src/damsonlane/quarantine/_registry.py
+++ b/packages/damsonlane/src/damsonlane/quarantine/_registry.py
@@ -5,28 +5,28 @@
 from typing import Final, Literal
 
 from damsonlane.quarantine._attribution import (
-    ENDS_TO_HOLD,
+    EXITS_TO_QUARANTINE,
     ExitsByIdentity,
     attribute_exits,
     find_oldest_removable,
     list_suspects,
 )
 from damsonlane.quarantine._exits import (
-    BrokenRun,
-    ForgetTargetEnds,
-    NoteSurvived,
-    NoteTargetEnd,
+    ForgetTargetExits,
+    InterruptedRequest,
+    RecordServed,
+    RecordTargetExit,
     ReleaseRequest,
     TargetExit,
 )
 
 #: Most exits that are stored: some minutes of a fleet that loses one target a second.
-MOST_ENDS: Final = 256
+MAX_EXITS: Final = 256
 #: Most requests that are stored for one exit; those that ran for the shortest time are kept.
 MAX_RUNS: Final = 48
 #: Seconds for which an exit counts.  A request that crashes targets costs three of them in this
 #: time.
-COUNTED_SECONDS: Final = 3_600.0
+EXIT_WINDOW_SECONDS: Final = 3_600.0
 #: Seconds within which reports of entries are taken to be about the same exit of a target that
 #: keeps its name: entries notice it at once, and a restart takes longer.
 SAME_EXIT_SECONDS: Final = 0.2
@@ -36,11 +36,11 @@
 MAX_SUSPECTS: Final = 128
 
 #: The commands that change the registry.
-QuarantineCommand = NoteTargetEnd | NoteSurvived | ReleaseRequest | ForgetTargetEnds
+QuarantineCommand = RecordTargetExit | RecordServed | ReleaseRequest | ForgetTargetExits
 
 
 @dataclass(frozen=True, kw_only=True)
-class HeldRequest:
+class QuarantinedRequest:
     """A quarantined request."""
 
     #: Its fingerprint.
@@ -58,13 +58,13 @@
     #: Number of changes so far; a lower one is older.
     revision: int = 0
     #: Quarantined requests.
-    held: tuple[HeldRequest, ...] = ()
+    held: tuple[QuarantinedRequest, ...] = ()
     #: Fingerprints of other requests that are part of several exits.
     suspects: tuple[str, ...] = ()
 
 
 @dataclass(frozen=True, kw_only=True)
-class QuarantineNoted:
+class QuarantineRecorded:
     """The reply to all commands: the current list."""
 
     kind: Literal["quarantine-noted"] = "quarantine-noted"
@@ -82,7 +82,7 @@
     ends: tuple[TargetExit, ...] = ()
 
 
-class QuarantineBook:
+class QuarantineRegistry:
     """Applies commands of entries and operators about requests that crash targets."""
 
     def __init__(self, snapshot: QuarantineSnapshot | None = None) -> None:
@@ -105,24 +105,26 @@
         """Return the list that is sent to entries."""
         return self._list
 
-    def is_forgetful_at(self, now: float) -> bool:
+    def has_expired_exits(self, now: float) -> bool:
         """Return whether some exit no longer counts.
 
         Args:
             now: seconds since 1970.
         """
-        return any(target_exit.at < now - COUNTED_SECONDS for target_exit in self._exits.values())
+        return any(
+            target_exit.at < now - EXIT_WINDOW_SECONDS for target_exit in self._exits.values()
+        )
 
-    def apply(self, command: QuarantineCommand) -> QuarantineNoted:
+    def apply(self, command: QuarantineCommand) -> QuarantineRecorded:
         """Apply one command."""
         match command:
-            case NoteTargetEnd():
+            case RecordTargetExit():
                 self._record_exit(command)
-            case NoteSurvived(fingerprints=fingerprints):
+            case RecordServed(fingerprints=fingerprints):
                 self._release(fingerprints)
             case ReleaseRequest(fingerprint=fingerprint):
                 self._release((fingerprint,))
-            case ForgetTargetEnds(before=before):
+            case ForgetTargetExits(before=before):
                 self._replace_exits(
                     [
                         target_exit
@@ -130,11 +132,11 @@
                         if target_exit.at >= before
                     ]
                 )
-        if not isinstance(command, NoteTargetEnd) or self._has_suspects(command.runs):
+        if not isinstance(command, RecordTargetExit) or self._has_suspects(command.runs):
             self._update_list()
-        return QuarantineNoted(quarantine=self._list)
+        return QuarantineRecorded(quarantine=self._list)
 
-    def _record_exit(self, command: NoteTargetEnd) -> None:
+    def _record_exit(self, command: RecordTargetExit) -> None:
         start = self._find_start(command) if command.is_name_kept else command.start
         target_exit = TargetExit(
             target=command.target, start=start, at=command.at, runs=command.runs
@@ -143,7 +145,7 @@
         if known is not None:
             target_exit = replace(known, runs=(*known.runs, *command.runs))
         self._store(replace(target_exit, runs=_keep_shortest(target_exit.runs)))
-        while len(self._exits) > MOST_ENDS:
+        while len(self._exits) > MAX_EXITS:
             exits = list(self._exits.values())
             held = [request.fingerprint for request in self._list.held]
             self._remove(exits[find_oldest_removable(exits, held)])
@@ -168,7 +170,7 @@
         for target_exit in exits:
             self._store(target_exit)
 
-    def _has_suspects(self, runs: Iterable[BrokenRun]) -> bool:
+    def _has_suspects(self, runs: Iterable[InterruptedRequest]) -> bool:
         """Return whether some requests are part of several exits; if not, the list is unchanged.
 
         When a rack of targets is lost, hundreds of reports come, and hardly a request is part of
@@ -178,7 +180,7 @@
             len(self._exits_by_request.get(run.fingerprint, ())) >= EXITS_TO_SUSPECT for run in runs
         )
 
-    def _find_start(self, command: NoteTargetEnd) -> int:
+    def _find_start(self, command: RecordTargetExit) -> int:
         """Return the start that identifies the exit of a target that keeps its name."""
         for target_exit in self._exits.values():
             is_near = abs(target_exit.at - command.at) < SAME_EXIT_SECONDS
@@ -220,19 +222,19 @@
         }
 
 
-def _quarantine(fingerprint: str, exits: tuple[TargetExit, ...]) -> HeldRequest:
+def _quarantine(fingerprint: str, exits: tuple[TargetExit, ...]) -> QuarantinedRequest:
     """Return a quarantined request; its release is when too few of its exits count."""
     times = sorted((target_exit.at for target_exit in exits), reverse=True)
-    return HeldRequest(
+    return QuarantinedRequest(
         fingerprint=fingerprint,
         ends=len(exits),
-        until=times[ENDS_TO_HOLD - 1] + COUNTED_SECONDS,
+        until=times[EXITS_TO_QUARANTINE - 1] + EXIT_WINDOW_SECONDS,
     )
 
 
-def _keep_shortest(runs: tuple[BrokenRun, ...]) -> tuple[BrokenRun, ...]:
+def _keep_shortest(runs: tuple[InterruptedRequest, ...]) -> tuple[InterruptedRequest, ...]:
     """Return the shortest run of each request, limited to the number that is stored."""
-    shortest: dict[str, BrokenRun] = {}
+    shortest: dict[str, InterruptedRequest] = {}
     for run in runs:
         known = shortest.get(run.fingerprint)
         if known is None or run.seconds < known.seconds:
--- a/packages/damsonlane/src/damsonlane/quarantine/tests/test_registry.py
+++ b/packages/damsonlane/src/damsonlane/quarantine/tests/test_registry.py
@@ -11,33 +11,35 @@
 
 from damsonlane.codec import decode_bytes, encode_text
 from damsonlane.quarantine import (
-    COUNTED_SECONDS,
-    ENDS_TO_HOLD_ALIKE,
-    MOST_ENDS,
+    EXIT_WINDOW_SECONDS,
+    EXITS_TO_QUARANTINE_TIED,
+    MAX_EXITS,
     SERVED_SECONDS,
-    BrokenRun,
-    ForgetTargetEnds,
-    NoteSurvived,
-    NoteTargetEnd,
-    QuarantineBook,
+    ForgetTargetExits,
+    InterruptedRequest,
+    QuarantineRegistry,
     QuarantineSnapshot,
     RecentlyServed,
+    RecordServed,
+    RecordTargetExit,
     ReleaseRequest,
 )
 from damsonlane.quarantine._served import MAX_SERVED
 
 
-def make_exit(number: int, *requests: str, seconds: float = 0.2, at: float = 0.0) -> NoteTargetEnd:
-    runs = tuple(BrokenRun(fingerprint=name, seconds=seconds) for name in requests)
-    return NoteTargetEnd(target=f"t{number}", start=number, runs=runs, at=at)
+def make_exit(
+    number: int, *requests: str, seconds: float = 0.2, at: float = 0.0
+) -> RecordTargetExit:
+    runs = tuple(InterruptedRequest(fingerprint=name, seconds=seconds) for name in requests)
+    return RecordTargetExit(target=f"t{number}", start=number, runs=runs, at=at)
 
 
-def list_quarantined(registry: QuarantineBook) -> list[str]:
+def list_quarantined(registry: QuarantineRegistry) -> list[str]:
     return [request.fingerprint for request in registry.list_for_entries().held]
 
 
-def make_registry(*exits: Sequence[str]) -> QuarantineBook:
-    registry = QuarantineBook()
+def make_registry(*exits: Sequence[str]) -> QuarantineRegistry:
+    registry = QuarantineRegistry()
     for number, requests in enumerate(exits):
         registry.apply(make_exit(number, *requests))
     return registry
@@ -51,20 +53,20 @@
         )
 
     def test_an_exit_that_several_boxes_report_counts_once(self) -> None:
-        registry = QuarantineBook()
+        registry = QuarantineRegistry()
         for _ in range(5):
             registry.apply(make_exit(1, "a"))
         self.assertEqual(list_quarantined(registry), [])
 
     def test_each_incarnation_of_a_target_counts(self) -> None:
-        registry = QuarantineBook()
+        registry = QuarantineRegistry()
         for start in range(3):
-            runs = (BrokenRun(fingerprint="bad", seconds=0.1),)
-            registry.apply(NoteTargetEnd(target="t", start=start, runs=runs))
+            runs = (InterruptedRequest(fingerprint="bad", seconds=0.1),)
+            registry.apply(RecordTargetExit(target="t", start=start, runs=runs))
         self.assertEqual(list_quarantined(registry), ["bad"])
 
     def test_exits_of_a_target_that_keeps_its_name_are_told_apart_by_time(self) -> None:
-        registry = QuarantineBook()
+        registry = QuarantineRegistry()
         for at in (10.0, 10.1, 20.0, 20.1):
             registry.apply(replace(make_exit(0, "bad", at=at), is_name_kept=True))
         self.assertEqual(list_quarantined(registry), [])
@@ -90,7 +92,7 @@
         self.assertEqual(list_quarantined(registry), ["bad"])
 
     def test_requests_with_all_exits_in_common_need_more_exits(self) -> None:
-        together = [["x", "y"]] * ENDS_TO_HOLD_ALIKE
+        together = [["x", "y"]] * EXITS_TO_QUARANTINE_TIED
         self.assertEqual(list_quarantined(make_registry(*together[:-1])), [])
         self.assertEqual(list_quarantined(make_registry(*together)), ["x", "y"])
         self.assertEqual(list_quarantined(make_registry(*together[:3], ["x"])), ["x"])
@@ -104,7 +106,7 @@
     def test_a_served_request_is_not_quarantined(self) -> None:
         registry = make_registry(["popular"], ["popular"])
         self.assertEqual(registry.list_for_entries().suspects, ("popular",))
-        registry.apply(NoteSurvived(fingerprints=("popular",)))
+        registry.apply(RecordServed(fingerprints=("popular",)))
         registry.apply(make_exit(9, "popular"))
         self.assertEqual(list_quarantined(registry), [])
 
@@ -116,26 +118,26 @@
         self.assertGreater(registry.revision, before)
 
     def test_old_exits_are_removed(self) -> None:
-        registry = QuarantineBook()
+        registry = QuarantineRegistry()
         for number in range(4):
             registry.apply(make_exit(number, "bad", at=100.0 * number))
-        self.assertEqual(registry.list_for_entries().held[0].until, 100.0 + COUNTED_SECONDS)
-        self.assertFalse(registry.is_forgetful_at(COUNTED_SECONDS))
-        self.assertTrue(registry.is_forgetful_at(COUNTED_SECONDS + 1.0))
-        registry.apply(ForgetTargetEnds(before=99.0))
+        self.assertEqual(registry.list_for_entries().held[0].until, 100.0 + EXIT_WINDOW_SECONDS)
+        self.assertFalse(registry.has_expired_exits(EXIT_WINDOW_SECONDS))
+        self.assertTrue(registry.has_expired_exits(EXIT_WINDOW_SECONDS + 1.0))
+        registry.apply(ForgetTargetExits(before=99.0))
         self.assertEqual(list_quarantined(registry), ["bad"])
-        registry.apply(ForgetTargetEnds(before=101.0))
+        registry.apply(ForgetTargetExits(before=101.0))
         self.assertEqual(list_quarantined(registry), [])
 
     def test_many_other_exits_do_not_release_a_request(self) -> None:
         registry = make_registry(["bad"], ["bad"], ["bad"])
-        for number in range(3, 2 * MOST_ENDS):
+        for number in range(3, 2 * MAX_EXITS):
             registry.apply(make_exit(number, f"other-{number}"))
         self.assertEqual(list_quarantined(registry), ["bad"])
-        self.assertEqual(len(registry.snapshot().ends), MOST_ENDS)
+        self.assertEqual(len(registry.snapshot().ends), MAX_EXITS)
 
     def test_an_exit_with_hundreds_of_requests_keeps_the_shortest_runs(self) -> None:
-        registry = QuarantineBook()
+        registry = QuarantineRegistry()
         for number in range(3):
             registry.apply(
                 make_exit(number, *(f"{number}-{other}" for other in range(300)), seconds=2)
@@ -166,7 +168,7 @@
     def test_a_snapshot_holds_everything(self) -> None:
         registry = make_registry(["bad", "a"], ["bad"], ["bad"])
         text = encode_text(registry.snapshot(), QuarantineSnapshot)
-        restored = QuarantineBook(decode_bytes(text, QuarantineSnapshot))
+        restored = QuarantineRegistry(decode_bytes(text, QuarantineSnapshot))
         self.assertEqual(restored.list_for_entries(), registry.list_for_entries())
         self.assertEqual(restored.snapshot(), registry.snapshot())
 
@@ -187,7 +189,7 @@
         reported = [(number, name) for number, names in enumerate(exits) for name in sorted(names)]
         registries = []
         for _ in range(2):
-            registry = QuarantineBook()
+            registry = QuarantineRegistry()
             for number, name in reported:
                 registry.apply(make_exit(number, name))
             registries.append(registry)
@@ -198,8 +200,8 @@
 
     def test_reports_of_a_lost_rack_do_not_rebuild_the_list(self) -> None:
         """Rebuilding it for each of hundreds of reports would take seconds."""
-        registry = QuarantineBook()
-        for number in range(MOST_ENDS):
+        registry = QuarantineRegistry()
+        for number in range(MAX_EXITS):
             registry.apply(make_exit(number, *(f"{number}-{other}" for other in range(40))))
         with mock.patch.object(registry, "_make_list") as rebuild:
             for number in range(200):
--- a/packages/damsonlane_cli/src/damsonlane_cli/_quarantine.py
+++ b/packages/damsonlane_cli/src/damsonlane_cli/_quarantine.py
@@ -3,7 +3,7 @@
 from datetime import UTC, datetime
 from typing import Final
 
-from damsonlane.quarantine import QuarantineList, QuarantineNoted, ReleaseRequest
+from damsonlane.quarantine import QuarantineList, QuarantineRecorded, ReleaseRequest
 from damsonlane_cli._context import (
     EXIT_INPUT,
     EXIT_REFUSED,
@@ -57,7 +57,7 @@
                 reply = (await client.submit([command], seconds))[0]
             except ForbiddenError as error:
                 fail(str(error), EXIT_REFUSED)
-            assert isinstance(reply, QuarantineNoted)
+            assert isinstance(reply, QuarantineRecorded)
             return reply.quarantine
 
         quarantined = {request.fingerprint for request in _read_list().held}
--- a/packages/damsonlaned/src/damsonlaned/control/_registry.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_registry.py
@@ -14,7 +14,7 @@
 from damsonlane.coldness import ColdNews
 from damsonlane.errors import SettingsError, UnavailableError
 from damsonlane.evacuation import EvacuateDataCentre, EvacuationNoted, RestoreDataCentre
-from damsonlane.quarantine import COUNTED_SECONDS, ForgetTargetEnds
+from damsonlane.quarantine import EXIT_WINDOW_SECONDS, ForgetTargetExits
 from damsonlane.routes import check_document
 from damsonlane.targets import (
     RegisterTarget,
@@ -309,8 +309,8 @@
     async def _remove_old_exits(self) -> None:
         """Remove, at the leader, exits of targets that are too old to count."""
         now = time.time()
-        if self._node.state.quarantine.is_forgetful_at(now):
-            await self._leader.submit(ForgetTargetEnds(before=now - COUNTED_SECONDS))
+        if self._node.state.quarantine.has_expired_exits(now):
+            await self._leader.submit(ForgetTargetExits(before=now - EXIT_WINDOW_SECONDS))
 
     # Refusals.
 
--- a/packages/damsonlaned/src/damsonlaned/control/_service.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_service.py
@@ -17,7 +17,7 @@
 from damsonlane.cluster import ChangeSettings, Command
 from damsonlane.errors import AgreementError, NotLeaderError, UnavailableError
 from damsonlane.evacuation import EvacuateDataCentre, RestoreDataCentre
-from damsonlane.quarantine import NoteTargetEnd, ReleaseRequest
+from damsonlane.quarantine import RecordTargetExit, ReleaseRequest
 from damsonlane.settings import Operator
 from damsonlane_rpc import (
     ADD_REPLICA,
@@ -351,7 +351,7 @@
     Exits of targets are timestamped here too, since the clocks of entries differ by more than
     those of replicas.
     """
-    if isinstance(command, NoteTargetEnd):
+    if isinstance(command, RecordTargetExit):
         fingerprints = [run.fingerprint for run in command.runs]
         fields = {"target": command.target, "start": command.start}
         _LOG.info("target exit reported", extra={**fields, "fingerprints": fingerprints})
--- a/packages/damsonlaned/src/damsonlaned/entry/_dispatcher.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_dispatcher.py
@@ -9,7 +9,7 @@
 
 from damsonlane.admission import ServiceMeter, WorkClass
 from damsonlane.backoff import TargetIncarnation
-from damsonlane.quarantine import BrokenRun
+from damsonlane.quarantine import InterruptedRequest
 from damsonlane.requests import AttemptResult, Request, Send
 from damsonlane.routing import Choice, Health, LoadReport, Origin, Standing, TargetBook
 from damsonlaned.clock import read_clock
@@ -126,7 +126,7 @@
             # A caller that disconnects closes the generator; the target did not fail then.
             self._finish(send, choice, pipeline, reply, began_at)
         if reply.is_interrupted:
-            run = BrokenRun(fingerprint=fingerprint, seconds=read_clock() - began_at)
+            run = InterruptedRequest(fingerprint=fingerprint, seconds=read_clock() - began_at)
             self._quarantine.report_interrupted(_make_lost_target(send, choice), run)
         result = reply.result
         if result.outcome == "refused":
--- a/packages/damsonlaned/src/damsonlaned/entry/_request_runner.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_request_runner.py
@@ -9,7 +9,7 @@
 from typing import Final
 
 from damsonlane.admission import STAGE_SHARE
-from damsonlane.quarantine import HeldRequest, find_fingerprint
+from damsonlane.quarantine import QuarantinedRequest, find_fingerprint
 from damsonlane.requests import (
     Answer,
     AttemptResult,
@@ -53,7 +53,7 @@
             is_attained=not isinstance(outcome, Refusal) and read_clock() <= request.deadline_at,
         )
 
-    def find_quarantined(self, parsed: ParsedRequest) -> HeldRequest | None:
+    def find_quarantined(self, parsed: ParsedRequest) -> QuarantinedRequest | None:
         """Return the record of a quarantined request, or None if it may be sent to targets."""
         return self._control.quarantine.find_quarantined(_find_fingerprint(parsed))
 
@@ -126,7 +126,7 @@
         return machine.take_result(read_clock(), target, result)
 
 
-def describe_quarantined(quarantined: HeldRequest) -> str:
+def describe_quarantined(quarantined: QuarantinedRequest) -> str:
     """Return the reason for the quarantine of a request, for its caller."""
     return f"{quarantined.ends} targets ended while they had this request"
 
--- a/packages/damsonlaned/src/damsonlaned/entry/_thread_safe_quarantine.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_thread_safe_quarantine.py
@@ -5,7 +5,7 @@
 import logging
 from typing import Final
 
-from damsonlane.quarantine import BrokenRun, HeldRequest
+from damsonlane.quarantine import InterruptedRequest, QuarantinedRequest
 from damsonlaned.quarantine import (
     LOOK_AGAIN_SECONDS,
     LostTarget,
@@ -32,12 +32,12 @@
         self._quarantine: Final = quarantine
         self._loop: Final = asyncio.get_running_loop()
 
-    def find_quarantined(self, fingerprint: str) -> HeldRequest | None:
+    def find_quarantined(self, fingerprint: str) -> QuarantinedRequest | None:
         """Return the record of a quarantined request, or None if it may be sent to targets."""
         # Any thread may read: lists are replaced as a whole and never modified.
         return self._quarantine.find_held(fingerprint)
 
-    def report_interrupted(self, lost: LostTarget, run: BrokenRun) -> None:
+    def report_interrupted(self, lost: LostTarget, run: InterruptedRequest) -> None:
         """Find out whether a target exited under a request, and report an exit to control."""
         future = asyncio.run_coroutine_threadsafe(self._check_exit(lost, run), self._loop)
         try:
@@ -55,19 +55,19 @@
         """Stop reporting to control."""
         await self._quarantine.stop()
 
-    async def _check_exit(self, lost: LostTarget, run: BrokenRun) -> None:
+    async def _check_exit(self, lost: LostTarget, run: InterruptedRequest) -> None:
         if await refuses_connections(lost.address):
             await self._record_exit(lost, run)
         else:
             start_task(self._probe_later(lost, run), "probing a target again")
 
-    async def _probe_later(self, lost: LostTarget, run: BrokenRun) -> None:
+    async def _probe_later(self, lost: LostTarget, run: InterruptedRequest) -> None:
         """Probe once more: a process that exits may still listen for a moment."""
         await asyncio.sleep(LOOK_AGAIN_SECONDS)
         if await refuses_connections(lost.address):
             await self._record_exit(lost, run)
 
-    async def _record_exit(self, lost: LostTarget, run: BrokenRun) -> None:
+    async def _record_exit(self, lost: LostTarget, run: InterruptedRequest) -> None:
         fields = {"target": lost.target, "address": lost.address}
         _LOG.warning("target exited", extra={**fields, "fingerprints": [run.fingerprint]})
         self._quarantine.take_end(lost, (run,))
--- a/packages/damsonlaned/src/damsonlaned/entry/tests/test_thread_safe_quarantine.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/tests/test_thread_safe_quarantine.py
@@ -4,12 +4,12 @@
 import unittest
 from unittest import mock
 
-from damsonlane.quarantine import BrokenRun
+from damsonlane.quarantine import InterruptedRequest
 from damsonlaned.entry._thread_safe_quarantine import ThreadSafeQuarantine
 from damsonlaned.quarantine import LostTarget, Quarantine
 
 TEST_TIMEOUT_SECONDS = 20.0
-RUN = BrokenRun(fingerprint="f", seconds=0.1)
+RUN = InterruptedRequest(fingerprint="f", seconds=0.1)
 
 
 class ThreadSafeQuarantineTest(unittest.IsolatedAsyncioTestCase):
--- a/packages/damsonlaned/src/damsonlaned/gateway/_ended_targets.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_ended_targets.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Sequence
 from typing import Final
 
-from damsonlane.quarantine import BrokenRun
+from damsonlane.quarantine import InterruptedRequest
 from damsonlaned.gateway._view import FleetView
 from damsonlaned.quarantine import LOOK_AGAIN_SECONDS, LostTarget, refuses_connections
 from damsonlaned.tasks import start_task
@@ -17,7 +17,7 @@
 LOSS_RETENTION_SECONDS: Final = 8.0
 
 #: Takes an incarnation of a target that has exited, with the requests lost there.
-ExitCallback = Callable[[LostTarget, Sequence[BrokenRun]], None]
+ExitCallback = Callable[[LostTarget, Sequence[InterruptedRequest]], None]
 
 
 class EndedTargets:
@@ -37,12 +37,12 @@
     def __init__(self, view: FleetView, on_exit: ExitCallback) -> None:
         self._view: Final = view
         self._on_exit: Final = on_exit
-        self._losses: dict[LostTarget, list[BrokenRun]] = {}
+        self._losses: dict[LostTarget, list[InterruptedRequest]] = {}
         self._probes: dict[LostTarget, asyncio.Task[bool]] = {}
         self._delayed_probes: dict[LostTarget, asyncio.Task[None]] = {}
         view.on_change(self._follow_view)
 
-    async def note_broken(self, lost: LostTarget, runs: Sequence[BrokenRun]) -> bool:
+    async def note_broken(self, lost: LostTarget, runs: Sequence[InterruptedRequest]) -> bool:
         """Record broken responses; return whether the target is known to have exited.
 
         A target that is draining or no longer listed exits as planned, which counts against no
@@ -59,11 +59,11 @@
         self._schedule_probe(lost)
         return False
 
-    def note_silent(self, lost: LostTarget, runs: Sequence[BrokenRun]) -> None:
+    def note_silent(self, lost: LostTarget, runs: Sequence[InterruptedRequest]) -> None:
         """Record responses that timed out: only a report of control shows whether it exited."""
         self._record_loss(lost, runs)
 
-    def _record_loss(self, lost: LostTarget, runs: Sequence[BrokenRun]) -> bool:
+    def _record_loss(self, lost: LostTarget, runs: Sequence[InterruptedRequest]) -> bool:
         """Record a loss for a while; return whether the target is expected to run."""
         if not self._is_expected_to_run(lost):
             return False
@@ -136,7 +136,7 @@
         )
         self._on_exit(lost, runs)
 
-    def _forget(self, lost: LostTarget, runs: Sequence[BrokenRun]) -> None:
+    def _forget(self, lost: LostTarget, runs: Sequence[InterruptedRequest]) -> None:
         """Drop losses, so that a later exit is not attributed to them."""
         remaining = [run for run in self._losses.pop(lost, []) if run not in runs]
         if remaining:
--- a/packages/damsonlaned/src/damsonlaned/gateway/_failure_responder.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_failure_responder.py
@@ -2,7 +2,7 @@
 
 from typing import Final
 
-from damsonlane.quarantine import HeldRequest
+from damsonlane.quarantine import QuarantinedRequest
 from damsonlaned.dialects import Refusal
 from damsonlaned.gateway._attempt_history import AttemptHistory
 from damsonlaned.gateway._failed_attempt import FailedAttempt
@@ -63,7 +63,7 @@
         else:
             self._refuse(503, str(error), retry_after_seconds=error.retry_seconds)
 
-    def end_quarantined(self, quarantined: HeldRequest, *, is_under_way: bool) -> None:
+    def end_quarantined(self, quarantined: QuarantinedRequest, *, is_under_way: bool) -> None:
         """End a quarantined request.
 
         Args:
--- a/packages/damsonlaned/src/damsonlaned/gateway/_pool_owner.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_pool_owner.py
@@ -9,7 +9,7 @@
 
 from damsonlane.coldness import ColdGate
 from damsonlane.pools import PieceOrder, PieceQueue, WaitingPiece
-from damsonlane.quarantine import BrokenRun
+from damsonlane.quarantine import InterruptedRequest
 from damsonlane.routes import PoolTraits, Service
 from damsonlaned.dialects import BadRequestError, Dialect, MadePiece
 from damsonlaned.gateway._ended_targets import EndedTargets
@@ -339,11 +339,13 @@
         if await self._ended.note_broken(LostTarget.of(call.target.incarnation), runs):
             await self._quarantine.settle(*(run.fingerprint for run in runs))
 
-    def _describe_runs(self, call: BatchCall, began_at: float) -> tuple[BrokenRun, ...]:
+    def _describe_runs(self, call: BatchCall, began_at: float) -> tuple[InterruptedRequest, ...]:
         """Return the requests of a call, with the time since it began."""
         seconds = self._now() - began_at
         names = {piece.order.fingerprint for piece in call.batch if piece.order.fingerprint}
-        return tuple(BrokenRun(fingerprint=name, seconds=seconds) for name in sorted(names))
+        return tuple(
+            InterruptedRequest(fingerprint=name, seconds=seconds) for name in sorted(names)
+        )
 
     def _record_failed_call(self, call: BatchCall, fault: str, *, has_run: bool) -> None:
         """Record a call without a valid answer, and queue its pieces again."""
--- a/packages/damsonlaned/src/damsonlaned/gateway/_request_handler.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_request_handler.py
@@ -6,7 +6,7 @@
 from functools import partial
 from typing import Final
 
-from damsonlane.quarantine import BrokenRun
+from damsonlane.quarantine import InterruptedRequest
 from damsonlane.routing import Health
 from damsonlaned.dialects import Dialect
 from damsonlaned.gateway._attempt_history import AttemptHistory
@@ -347,9 +347,9 @@
             results, self._results = self._results, None
             self._stages.free(results)
 
-    def _make_broken_run(self) -> BrokenRun:
+    def _make_broken_run(self) -> InterruptedRequest:
         """Return the record of a response that broke off."""
-        return BrokenRun(
+        return InterruptedRequest(
             fingerprint=self._call.fingerprint, seconds=self._times.seconds_since_sent()
         )
 
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/harness.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/harness.py
@@ -8,7 +8,7 @@
 from damsonlane.cluster import ClusterState, PackedDocument
 from damsonlane.codec import encode_bytes
 from damsonlane.errors import UnavailableError
-from damsonlane.quarantine import BrokenRun, QuarantineList, ReleaseRequest
+from damsonlane.quarantine import InterruptedRequest, QuarantineList, ReleaseRequest
 from damsonlane.routes import (
     Organisation,
     PoolTraits,
@@ -279,7 +279,7 @@
         targets = Targets(self.view, "gulberg", lambda: max(1, len(self.view.entries)), address)
         self.metrics = Metrics()
         #: Targets that the entry found to have exited, with the responses lost there.
-        self.exits: list[tuple[LostTarget, Sequence[BrokenRun]]] = []
+        self.exits: list[tuple[LostTarget, Sequence[InterruptedRequest]]] = []
         self.exit_detector = EndedTargets(self.view, self._record_exit)
         self.control = control or Control()
         self.control.views.append(self.view)
@@ -312,7 +312,7 @@
         self._document = document
         self._revision = 0
 
-    def _record_exit(self, lost: LostTarget, runs: Sequence[BrokenRun]) -> None:
+    def _record_exit(self, lost: LostTarget, runs: Sequence[InterruptedRequest]) -> None:
         self.exits.append((lost, runs))
         self.quarantine.take_end(lost, runs)
 
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_ended_targets.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_ended_targets.py
@@ -7,7 +7,7 @@
 from dataclasses import replace
 
 from damsonlane.backoff import TargetIncarnation
-from damsonlane.quarantine import BrokenRun
+from damsonlane.quarantine import InterruptedRequest
 from damsonlaned.dialects import AnswerSigns
 from damsonlaned.gateway._ended_targets import EndedTargets
 from damsonlaned.gateway.tests.harness import (
@@ -21,7 +21,7 @@
 from damsonlaned.http import HttpRequest, ResponseWriter
 from damsonlaned.quarantine import LostTarget
 
-RUN = BrokenRun(fingerprint="f", seconds=0.1)
+RUN = InterruptedRequest(fingerprint="f", seconds=0.1)
 
 
 class EndedTargetsTest(unittest.IsolatedAsyncioTestCase):
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_quarantine.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_quarantine.py
@@ -7,9 +7,9 @@
 from unittest import mock
 
 from damsonlane.quarantine import (
-    ENDS_TO_HOLD,
-    ENDS_TO_HOLD_ALIKE,
-    BrokenRun,
+    EXITS_TO_QUARANTINE,
+    EXITS_TO_QUARANTINE_TIED,
+    InterruptedRequest,
     ReleaseRequest,
 )
 from damsonlane.targets import TargetRecord
@@ -105,7 +105,7 @@
         return response
 
     async def exit_until_quarantined(self) -> None:
-        for number in range(ENDS_TO_HOLD):
+        for number in range(EXITS_TO_QUARANTINE):
             await self.send(number)
 
 
@@ -117,15 +117,15 @@
 
     async def test_a_caller_that_retries_at_any_entry_costs_three_targets_and_no_more(self) -> None:
         responses = [await self.fleet.send(number) for number in range(8)]
-        self.assertEqual(len(self.fleet.exited), ENDS_TO_HOLD)
+        self.assertEqual(len(self.fleet.exited), EXITS_TO_QUARANTINE)
         self.assertEqual([response.status for response in responses], [502] * 3 + [503] * 5)
-        for response in responses[ENDS_TO_HOLD:]:
+        for response in responses[EXITS_TO_QUARANTINE:]:
             self.assertIn(b"retry-after", response.data.lower())
 
     async def test_attempts_of_one_request_at_two_targets_each_count(self) -> None:
         for number in range(4):
             await self.fleet.send(number, "/ping/deadly")
-        self.assertEqual(len(self.fleet.exited), ENDS_TO_HOLD)
+        self.assertEqual(len(self.fleet.exited), EXITS_TO_QUARANTINE)
 
     async def test_other_requests_of_that_caller_and_path_are_served(self) -> None:
         await self.fleet.exit_until_quarantined()
@@ -146,7 +146,7 @@
         await self.fleet.send(1)
         response = await waiting
         self.assertEqual(response.status, 502)
-        self.assertEqual(len(self.fleet.exited), ENDS_TO_HOLD)
+        self.assertEqual(len(self.fleet.exited), EXITS_TO_QUARANTINE)
 
     def _is_at_target(self, name: str) -> bool:
         return bool(self.fleet.targets[name].requests)
@@ -154,7 +154,7 @@
     async def test_a_quarantined_stream_is_not_resumed(self) -> None:
         self.fleet.events = 2
         responses = [await self.fleet.send(number, "/chat/deadly") for number in range(6)]
-        self.assertEqual(len(self.fleet.exited), ENDS_TO_HOLD)
+        self.assertEqual(len(self.fleet.exited), EXITS_TO_QUARANTINE)
         self.assertFalse(responses[1].is_whole())
         self.assertEqual({response.status for response in responses[2:]}, {503})
 
@@ -162,7 +162,7 @@
         self.fleet.control.is_reachable = False
         for _ in range(6):
             await self.fleet.send(0)
-        self.assertEqual(len(self.fleet.exited), ENDS_TO_HOLD)
+        self.assertEqual(len(self.fleet.exited), EXITS_TO_QUARANTINE)
         self.fleet.control.is_reachable = True
         await wait_until(lambda: bool(self.fleet.entries[1].view.quarantine.newest.held))
         self.assertEqual((await self.fleet.send(1)).status, 503)
@@ -170,7 +170,7 @@
     async def test_a_released_request_is_not_quarantined_by_an_entry_that_saw_its_exits(
         self,
     ) -> None:
-        for _ in range(ENDS_TO_HOLD):
+        for _ in range(EXITS_TO_QUARANTINE):
             await self.fleet.send(0)
         quarantined = self.fleet.control.state.quarantine.list_for_entries().held
         release = ReleaseRequest(fingerprint=quarantined[0].fingerprint, operator="o", at=0.0)
@@ -199,7 +199,7 @@
         served = next(iter(entry.quarantine._served._served_at))
         for name in list(self.fleet.records):
             lost = LostTarget(target=name, address="", start=0)
-            entry.quarantine.take_end(lost, (BrokenRun(fingerprint=served, seconds=1.0),))
+            entry.quarantine.take_end(lost, (InterruptedRequest(fingerprint=served, seconds=1.0),))
         await asyncio.sleep(0)
         self.assertEqual(self.fleet.control.state.quarantine.snapshot().ends, ())
 
@@ -245,15 +245,15 @@
 
     async def test_pieces_of_a_request_cost_three_targets_and_no_more(self) -> None:
         statuses = [await self._send(number, "deadly") for number in range(6)]
-        self.assertEqual(len(self.fleet.exited), ENDS_TO_HOLD)
+        self.assertEqual(len(self.fleet.exited), EXITS_TO_QUARANTINE)
         self.assertEqual(statuses, [503] * 6)
         self.assertEqual(await self._send(0, "other"), 200)
 
     async def test_pieces_in_the_same_calls_are_served_eventually(self) -> None:
-        for number in range(ENDS_TO_HOLD_ALIKE):
+        for number in range(EXITS_TO_QUARANTINE_TIED):
             same_call = asyncio.ensure_future(self._send(0, "mate"))
             await asyncio.gather(self._send(number, "deadly"), same_call)
-        self.assertLessEqual(len(self.fleet.exited), ENDS_TO_HOLD_ALIKE)
+        self.assertLessEqual(len(self.fleet.exited), EXITS_TO_QUARANTINE_TIED)
         self.assertEqual(await self._send(0, "mate"), 200)
         self.assertEqual(await self._send(0, "deadly"), 503)
 
--- a/packages/damsonlaned/src/damsonlaned/quarantine/_client.py
+++ b/packages/damsonlaned/src/damsonlaned/quarantine/_client.py
@@ -3,7 +3,7 @@
 from collections.abc import Sequence
 from typing import Final
 
-from damsonlane.quarantine import QuarantineList, QuarantineNoted
+from damsonlane.quarantine import QuarantineList, QuarantineRecorded
 from damsonlane_rpc import ControlClient
 from damsonlaned.quarantine._quarantine import Report
 
@@ -33,5 +33,5 @@
             reports, SUBMIT_TIMEOUT_SECONDS, attempt_seconds=ATTEMPT_TIMEOUT_SECONDS
         )
         last = replies[-1]
-        assert isinstance(last, QuarantineNoted)
+        assert isinstance(last, QuarantineRecorded)
         return last.quarantine
--- a/packages/damsonlaned/src/damsonlaned/quarantine/_quarantine.py
+++ b/packages/damsonlaned/src/damsonlaned/quarantine/_quarantine.py
@@ -9,13 +9,13 @@
 
 from damsonlane.errors import UnavailableError
 from damsonlane.quarantine import (
-    BrokenRun,
-    HeldRequest,
-    NoteSurvived,
-    NoteTargetEnd,
-    QuarantineBook,
+    InterruptedRequest,
+    QuarantinedRequest,
     QuarantineList,
+    QuarantineRegistry,
     RecentlyServed,
+    RecordServed,
+    RecordTargetExit,
 )
 from damsonlaned.quarantine._known import KnownQuarantine
 from damsonlaned.quarantine._probe import LostTarget
@@ -35,7 +35,7 @@
 MIN_RETRY_SECONDS: Final = 1.0
 
 #: A report of an entry to control.
-Report = NoteTargetEnd | NoteSurvived
+Report = RecordTargetExit | RecordServed
 #: Commits reports and returns the list after them; raises `UnavailableError` if it can't.
 Submit = Callable[[Sequence[Report]], Awaitable[QuarantineList]]
 
@@ -56,7 +56,7 @@
         self._submit: Final = submit
         #: Reports since control last had all of them.  Emptied once all are committed, since
         #: control may release a request meanwhile.
-        self._local = QuarantineBook()
+        self._local = QuarantineRegistry()
         self._served: Final = RecentlyServed()
         self._pending: list[Report] = []
         self._all_reported: Final = asyncio.Event()
@@ -65,7 +65,7 @@
         self._watchers: dict[str, list[Callable[[], None]]] = {}
         known.on_change(self._notify_watchers)
 
-    def find_held(self, fingerprint: str) -> HeldRequest | None:
+    def find_held(self, fingerprint: str) -> QuarantinedRequest | None:
         """Return a quarantined request, or None if it may be sent to targets."""
         lists = [self._known.newest]
         if self._pending:
@@ -80,7 +80,7 @@
         """Return whether a request that is not quarantined is part of several exits."""
         return fingerprint in self._known.newest.suspects
 
-    def take_end(self, lost: LostTarget, runs: Sequence[BrokenRun]) -> None:
+    def take_end(self, lost: LostTarget, runs: Sequence[InterruptedRequest]) -> None:
         """Record the exit of a target with the requests that were interrupted there.
 
         Args:
@@ -93,7 +93,7 @@
             return
         at = round(time.time(), 3)
         self._report(
-            NoteTargetEnd(
+            RecordTargetExit(
                 target=lost.target,
                 start=lost.start,
                 is_name_kept=lost.is_name_kept,
@@ -106,7 +106,7 @@
         """Record a request that a target served."""
         self._served.record(fingerprint, asyncio.get_running_loop().time())
         if self.is_suspect(fingerprint) or self.find_held(fingerprint) is not None:
-            self._report(NoteSurvived(fingerprints=(fingerprint,)))
+            self._report(RecordServed(fingerprints=(fingerprint,)))
 
     async def settle(self, *fingerprints: str) -> None:
         """Wait for a limited time until control has committed all reports of this entry.
@@ -167,7 +167,7 @@
                 continue
             self._pending = [report for report in self._pending if report not in reports]
             self._known.put(held)
-        self._local = QuarantineBook()
+        self._local = QuarantineRegistry()
         self._all_reported.set()
 
     def _notify_watchers(self) -> None:
@@ -177,6 +177,6 @@
                     notify()
 
 
-def find_retry_seconds(held: HeldRequest) -> float:
+def find_retry_seconds(held: QuarantinedRequest) -> float:
     """Return the seconds after which the caller of a quarantined request may retry."""
     return max(MIN_RETRY_SECONDS, round(held.until - time.time(), 1))
