--- a/packages/damsonlaned/src/damsonlaned/entry/_thread_safe_quarantine.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_thread_safe_quarantine.py
@@ -7,7 +7,7 @@
 
 from damsonlane.quarantine import InterruptedRequest, QuarantinedRequest
 from damsonlaned.quarantine import (
-    LOOK_AGAIN_SECONDS,
+    SECOND_PROBE_SECONDS,
     LostTarget,
     Quarantine,
     refuses_connections,
@@ -35,7 +35,7 @@
     def find_quarantined(self, fingerprint: str) -> QuarantinedRequest | None:
         """Return the record of a quarantined request, or None if it may be sent to targets."""
         # Any thread may read: lists are replaced as a whole and never modified.
-        return self._quarantine.find_held(fingerprint)
+        return self._quarantine.find_quarantined(fingerprint)
 
     def report_interrupted(self, lost: LostTarget, run: InterruptedRequest) -> None:
         """Find out whether a target exited under a request, and report an exit to control."""
@@ -49,7 +49,7 @@
 
     def record_served(self, fingerprint: str) -> None:
         """Record a request that was served successfully."""
-        self._loop.call_soon_threadsafe(self._quarantine.note_served, fingerprint)
+        self._loop.call_soon_threadsafe(self._quarantine.record_served, fingerprint)
 
     async def stop(self) -> None:
         """Stop reporting to control."""
@@ -63,12 +63,12 @@
 
     async def _probe_later(self, lost: LostTarget, run: InterruptedRequest) -> None:
         """Probe once more: a process that exits may still listen for a moment."""
-        await asyncio.sleep(LOOK_AGAIN_SECONDS)
+        await asyncio.sleep(SECOND_PROBE_SECONDS)
         if await refuses_connections(lost.address):
             await self._record_exit(lost, run)
 
     async def _record_exit(self, lost: LostTarget, run: InterruptedRequest) -> None:
         fields = {"target": lost.target, "address": lost.address}
         _LOG.warning("target exited", extra={**fields, "fingerprints": [run.fingerprint]})
-        self._quarantine.take_end(lost, (run,))
-        await self._quarantine.settle(run.fingerprint)
+        self._quarantine.record_exit(lost, (run,))
+        await self._quarantine.wait_until_reported(run.fingerprint)
--- a/packages/damsonlaned/src/damsonlaned/gateway/_ended_targets.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_ended_targets.py
@@ -7,7 +7,7 @@
 
 from damsonlane.quarantine import InterruptedRequest
 from damsonlaned.gateway._view import FleetView
-from damsonlaned.quarantine import LOOK_AGAIN_SECONDS, LostTarget, refuses_connections
+from damsonlaned.quarantine import SECOND_PROBE_SECONDS, LostTarget, refuses_connections
 from damsonlaned.tasks import start_task
 
 _LOG: Final = logging.getLogger(__name__)
@@ -103,7 +103,7 @@
             )
 
     async def _probe_later(self, lost: LostTarget) -> None:
-        await asyncio.sleep(LOOK_AGAIN_SECONDS)
+        await asyncio.sleep(SECOND_PROBE_SECONDS)
         if self._is_expected_to_run(lost) and await asyncio.shield(self._probe(lost)):
             self._report_exit(lost, "the target refuses connections")
 
--- a/packages/damsonlaned/src/damsonlaned/gateway/_node.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_node.py
@@ -69,7 +69,7 @@
         self._quarantine: Final = Quarantine(
             self._view.quarantine, QuarantineClient(self._control).submit
         )
-        exit_detector = EndedTargets(self._view, self._quarantine.take_end)
+        exit_detector = EndedTargets(self._view, self._quarantine.record_exit)
         targets = Targets(
             self._view, settings.data_centre, self._count_entries, settings.internal_address
         )
--- a/packages/damsonlaned/src/damsonlaned/gateway/_pool_owner.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_pool_owner.py
@@ -110,7 +110,7 @@
                 objective_at=now + order.aim_left_seconds,
                 abandonable_until=now + order.give_up_left_seconds,
             )
-            if self._quarantine.find_held(order.fingerprint) is not None:
+            if self._quarantine.find_quarantined(order.fingerprint) is not None:
                 self._answers.answer(piece, fault="failed")
             else:
                 self._queue.add(piece)
@@ -337,7 +337,7 @@
         """Find out whether the target exited, before its pieces go to another one."""
         runs = self._describe_runs(call, began_at)
         if await self._ended.note_broken(LostTarget.of(call.target.incarnation), runs):
-            await self._quarantine.settle(*(run.fingerprint for run in runs))
+            await self._quarantine.wait_until_reported(*(run.fingerprint for run in runs))
 
     def _describe_runs(self, call: BatchCall, began_at: float) -> tuple[InterruptedRequest, ...]:
         """Return the requests of a call, with the time since it began."""
@@ -369,7 +369,9 @@
     def _is_crash_suspect(self, piece: WaitingPiece) -> bool:
         """Return whether targets exited while they ran the request of a piece, at any box."""
         name = piece.order.fingerprint
-        return self._quarantine.is_suspect(name) or self._quarantine.find_held(name) is not None
+        return (
+            self._quarantine.is_suspect(name) or self._quarantine.find_quarantined(name) is not None
+        )
 
     def _estimate_wait(self, like: PieceOrder) -> float:
         """Return the estimated queueing time of a piece like the given one, in seconds."""
--- a/packages/damsonlaned/src/damsonlaned/gateway/_request_handler.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_request_handler.py
@@ -126,7 +126,7 @@
 
     def _end_if_quarantined(self, *, is_under_way: bool = False) -> bool:
         """End the request if it is quarantined; return whether it is."""
-        quarantined = self._quarantine.find_held(self._call.fingerprint)
+        quarantined = self._quarantine.find_quarantined(self._call.fingerprint)
         if quarantined is None:
             return False
         self._responder.end_quarantined(quarantined, is_under_way=is_under_way)
@@ -180,7 +180,7 @@
         runs = (self._make_broken_run(),)
         if failure.loss == "broken":
             if await self._exit_detector.note_broken(LostTarget.of(chosen.named), runs):
-                await self._quarantine.settle(self._call.fingerprint)
+                await self._quarantine.wait_until_reported(self._call.fingerprint)
         elif failure.loss == "silent":
             self._exit_detector.note_silent(LostTarget.of(chosen.named), runs)
 
@@ -249,7 +249,7 @@
             self._release_results()
             self._response.send_whole(response)
             if response.status < 300:
-                self._quarantine.note_served(self._call.fingerprint)
+                self._quarantine.record_served(self._call.fingerprint)
         return failure
 
     def _find_failure(self, opened: OpenedExchange, response: HttpResponse) -> FailedAttempt | None:
@@ -284,7 +284,7 @@
             if not self._response.has_begun():
                 self._response.start(opened.head)
             self._response.finish()
-            self._quarantine.note_served(self._call.fingerprint)
+            self._quarantine.record_served(self._call.fingerprint)
             health = "good"
             return None
         except (IncompleteResponseError, EventTooLargeError) as error:
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/harness.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/harness.py
@@ -33,7 +33,7 @@
 from damsonlaned.gateway._view import FleetView
 from damsonlaned.http import HttpHead, HttpListener, HttpRequest, HttpResponse, ResponseWriter
 from damsonlaned.metrics import Metrics
-from damsonlaned.quarantine import LostTarget, Quarantine, Report
+from damsonlaned.quarantine import LostTarget, Quarantine, QuarantineReport
 
 #: Time-out of tests, in seconds.
 PATIENCE = 20.0
@@ -244,7 +244,7 @@
         self.is_reachable = True
         self.views: list[FleetView] = []
 
-    async def submit(self, reports: Sequence[Report]) -> QuarantineList:
+    async def submit(self, reports: Sequence[QuarantineReport]) -> QuarantineList:
         if not self.is_reachable:
             raise UnavailableError("no quorum")
         for report in reports:
@@ -314,7 +314,7 @@
 
     def _record_exit(self, lost: LostTarget, runs: Sequence[InterruptedRequest]) -> None:
         self.exits.append((lost, runs))
-        self.quarantine.take_end(lost, runs)
+        self.quarantine.record_exit(lost, runs)
 
     async def start(self, *records: TargetRecord) -> None:
         await self._listener.start()
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_quarantine.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_quarantine.py
@@ -199,7 +199,9 @@
         served = next(iter(entry.quarantine._served._served_at))
         for name in list(self.fleet.records):
             lost = LostTarget(target=name, address="", start=0)
-            entry.quarantine.take_end(lost, (InterruptedRequest(fingerprint=served, seconds=1.0),))
+            entry.quarantine.record_exit(
+                lost, (InterruptedRequest(fingerprint=served, seconds=1.0),)
+            )
         await asyncio.sleep(0)
         self.assertEqual(self.fleet.control.state.quarantine.snapshot().ends, ())
 
--- a/packages/damsonlaned/src/damsonlaned/quarantine/__init__.py
+++ b/packages/damsonlaned/src/damsonlaned/quarantine/__init__.py
@@ -6,16 +6,16 @@
 
 from damsonlaned.quarantine._client import QuarantineClient
 from damsonlaned.quarantine._known import KnownQuarantine
-from damsonlaned.quarantine._probe import LOOK_AGAIN_SECONDS, LostTarget, refuses_connections
-from damsonlaned.quarantine._quarantine import Quarantine, Report, find_retry_seconds
+from damsonlaned.quarantine._probe import SECOND_PROBE_SECONDS, LostTarget, refuses_connections
+from damsonlaned.quarantine._quarantine import Quarantine, QuarantineReport, find_retry_seconds
 
 __all__ = [
-    "LOOK_AGAIN_SECONDS",
+    "SECOND_PROBE_SECONDS",
     "KnownQuarantine",
     "LostTarget",
     "Quarantine",
     "QuarantineClient",
-    "Report",
+    "QuarantineReport",
     "find_retry_seconds",
     "refuses_connections",
 ]
--- a/packages/damsonlaned/src/damsonlaned/quarantine/_client.py
+++ b/packages/damsonlaned/src/damsonlaned/quarantine/_client.py
@@ -5,7 +5,7 @@
 
 from damsonlane.quarantine import QuarantineList, QuarantineRecorded
 from damsonlane_rpc import ControlClient
-from damsonlaned.quarantine._quarantine import Report
+from damsonlaned.quarantine._quarantine import QuarantineReport
 
 #: Time-out of committing reports, over all replicas, in seconds.
 SUBMIT_TIMEOUT_SECONDS: Final = 2.0
@@ -23,7 +23,7 @@
     def __init__(self, client: ControlClient) -> None:
         self._client: Final = client
 
-    async def submit(self, reports: Sequence[Report]) -> QuarantineList:
+    async def submit(self, reports: Sequence[QuarantineReport]) -> QuarantineList:
         """Commit reports and return the list after them.
 
         Raises:
--- a/packages/damsonlaned/src/damsonlaned/quarantine/_probe.py
+++ b/packages/damsonlaned/src/damsonlaned/quarantine/_probe.py
@@ -11,7 +11,7 @@
 PROBE_TIMEOUT_SECONDS: Final = 0.2
 #: Seconds between the first and the second probe of a target: by then a process that exits has
 #: closed its sockets, and a restart takes a few seconds.
-LOOK_AGAIN_SECONDS: Final = 0.1
+SECOND_PROBE_SECONDS: Final = 0.1
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/packages/damsonlaned/src/damsonlaned/quarantine/_quarantine.py
+++ b/packages/damsonlaned/src/damsonlaned/quarantine/_quarantine.py
@@ -35,9 +35,9 @@
 MIN_RETRY_SECONDS: Final = 1.0
 
 #: A report of an entry to control.
-Report = RecordTargetExit | RecordServed
+QuarantineReport = RecordTargetExit | RecordServed
 #: Commits reports and returns the list after them; raises `UnavailableError` if it can't.
-Submit = Callable[[Sequence[Report]], Awaitable[QuarantineList]]
+Submit = Callable[[Sequence[QuarantineReport]], Awaitable[QuarantineList]]
 
 
 class Quarantine:
@@ -58,14 +58,14 @@
         #: control may release a request meanwhile.
         self._local = QuarantineRegistry()
         self._served: Final = RecentlyServed()
-        self._pending: list[Report] = []
+        self._pending: list[QuarantineReport] = []
         self._all_reported: Final = asyncio.Event()
         self._all_reported.set()
         self._task: asyncio.Task[None] | None = None
         self._watchers: dict[str, list[Callable[[], None]]] = {}
         known.on_change(self._notify_watchers)
 
-    def find_held(self, fingerprint: str) -> QuarantinedRequest | None:
+    def find_quarantined(self, fingerprint: str) -> QuarantinedRequest | None:
         """Return a quarantined request, or None if it may be sent to targets."""
         lists = [self._known.newest]
         if self._pending:
@@ -80,7 +80,7 @@
         """Return whether a request that is not quarantined is part of several exits."""
         return fingerprint in self._known.newest.suspects
 
-    def take_end(self, lost: LostTarget, runs: Sequence[InterruptedRequest]) -> None:
+    def record_exit(self, lost: LostTarget, runs: Sequence[InterruptedRequest]) -> None:
         """Record the exit of a target with the requests that were interrupted there.
 
         Args:
@@ -102,13 +102,13 @@
             )
         )
 
-    def note_served(self, fingerprint: str) -> None:
+    def record_served(self, fingerprint: str) -> None:
         """Record a request that a target served."""
         self._served.record(fingerprint, asyncio.get_running_loop().time())
-        if self.is_suspect(fingerprint) or self.find_held(fingerprint) is not None:
+        if self.is_suspect(fingerprint) or self.find_quarantined(fingerprint) is not None:
             self._report(RecordServed(fingerprints=(fingerprint,)))
 
-    async def settle(self, *fingerprints: str) -> None:
+    async def wait_until_reported(self, *fingerprints: str) -> None:
         """Wait for a limited time until control has committed all reports of this entry.
 
         Returns at once if none of the requests is a suspect: one more exit does not quarantine
@@ -144,7 +144,7 @@
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
-    def _report(self, report: Report) -> None:
+    def _report(self, report: QuarantineReport) -> None:
         """Queue a report for control, and count it locally until it is committed."""
         self._local.apply(report)
         self._pending = [*self._pending, report][-MAX_PENDING_REPORTS:]
@@ -172,7 +172,7 @@
 
     def _notify_watchers(self) -> None:
         for fingerprint, watchers in list(self._watchers.items()):
-            if self.find_held(fingerprint) is not None:
+            if self.find_quarantined(fingerprint) is not None:
                 for notify in list(watchers):
                     notify()
 
