--- a/packages/damsonlane/src/damsonlane/coldness/_changes.py
+++ b/packages/damsonlane/src/damsonlane/warmup/_changes.py
@@ -9,7 +9,7 @@
 TOLERANCE_SECONDS: Final = 0.25
 
 
-class ColdNews:
+class WarmupChanges:
     """Remembers until when each target warms up, as it last reported.
 
     Every heartbeat of a target that is warming up reports another remaining time.  Entries need
@@ -19,7 +19,7 @@
     def __init__(self) -> None:
         self._cold_until: dict[str, float] = {}
 
-    def is_news(self, record: TargetRecord, known: TargetRecord, now: float) -> bool:
+    def is_change(self, record: TargetRecord, known: TargetRecord, now: float) -> bool:
         """Return whether a heartbeat changes the warm-up of its target.
 
         Args:
@@ -32,7 +32,7 @@
         cold_until = self._cold_until.get(record.target, 0.0) if known.cold_seconds > 0 else 0.0
         return now + record.cold_seconds > cold_until + TOLERANCE_SECONDS
 
-    def note(self, record: TargetRecord, now: float) -> None:
+    def record(self, record: TargetRecord, now: float) -> None:
         """Record a heartbeat that was stored in the registry."""
         if record.cold_seconds > 0:
             self._cold_until[record.target] = now + record.cold_seconds
--- a/packages/damsonlane/src/damsonlane/coldness/_limit.py
+++ b/packages/damsonlane/src/damsonlane/warmup/_limit.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class ColdBound:
+class WarmupLimit:
     """Requests that a target that is warming up may get in a second from all boxes together."""
 
     #: Requests a second that it can serve.
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class ColdAllowance:
+class WarmupAllowance:
     """What a target that is warming up may get beyond the rate that it can serve."""
 
     #: Multiple of that rate.
@@ -48,6 +48,6 @@
     #: Requests in a second in addition.
     slack: float = 5.0
 
-    def bound(self, rate: float) -> ColdBound:
+    def limit_for(self, rate: float) -> WarmupLimit:
         """Return the limit for targets that can serve a rate, in requests a second."""
-        return ColdBound(rate=rate, ratio=self.ratio, slack=self.slack)
+        return WarmupLimit(rate=rate, ratio=self.ratio, slack=self.slack)
--- a/packages/damsonlane/src/damsonlane/coldness/_limiter.py
+++ b/packages/damsonlane/src/damsonlane/warmup/_limiter.py
@@ -8,7 +8,7 @@
 WINDOW_SECONDS: Final = 1.2
 
 
-class ColdGate:
+class WarmupLimiter:
     """Limits the requests that this sender sends to each target that is warming up."""
 
     def __init__(self) -> None:
@@ -29,11 +29,11 @@
             sent.popleft()
         return len(sent) < limit
 
-    def note(self, target: str, now: float) -> None:
+    def record(self, target: str, now: float) -> None:
         """Record a request that is sent to a target."""
         self._sent.setdefault(target, deque()).append(now)
 
-    def forget_others(self, targets: set[str]) -> None:
+    def retain_only(self, targets: set[str]) -> None:
         """Drop the records of all targets but the given ones."""
         for target in set(self._sent) - targets:
             del self._sent[target]
--- a/packages/damsonlane/src/damsonlane/coldness/tests/test_coldness.py
+++ b/packages/damsonlane/src/damsonlane/warmup/tests/test_coldness.py
@@ -3,10 +3,10 @@
 import random
 import unittest
 
-from damsonlane.coldness import ColdBound, ColdGate, ColdNews, find_entry_share
 from damsonlane.targets import TargetRecord
+from damsonlane.warmup import WarmupChanges, WarmupLimit, WarmupLimiter, find_entry_share
 
-LIMIT = ColdBound(rate=6.7, ratio=1.5, slack=5.0)
+LIMIT = WarmupLimit(rate=6.7, ratio=1.5, slack=5.0)
 RECORD = TargetRecord(
     target="t1",
     service="desk",
@@ -26,7 +26,7 @@
     def test_two_owners_and_all_entries_stay_within_the_limit(self) -> None:
         for rate in (0.0, 0.3, 1.0, 6.7, 14.0, 100.0):
             for slack in (5.0, 10.0):
-                limit = ColdBound(rate=rate, ratio=1.5, slack=slack)
+                limit = WarmupLimit(rate=rate, ratio=1.5, slack=slack)
                 together = 2 * limit.owner_limit() + limit.entries_limit()
                 self.assertLessEqual(together, limit.max_requests())
 
@@ -37,7 +37,7 @@
 class LimiterTest(unittest.TestCase):
     def test_a_burst_for_targets_that_start_together_stays_within_the_limit(self) -> None:
         """All entries see the targets idle and send there at the same time."""
-        limiter = ColdGate()
+        limiter = WarmupLimiter()
         sent: dict[str, list[float]] = {f"t{number}": [] for number in range(18)}
         randomness = random.Random(7)
         now = 0.0
@@ -49,7 +49,7 @@
                 rejected += 1
                 continue
             name = randomness.choice(admitted)
-            limiter.note(name, now)
+            limiter.record(name, now)
             sent[name].append(now)
         self.assertGreater(rejected, 0)
         for times in sent.values():
@@ -57,9 +57,9 @@
             self.assertLessEqual(busiest, 6)
 
     def test_removed_targets_are_dropped(self) -> None:
-        limiter = ColdGate()
-        limiter.note("t1", 0.0)
-        limiter.forget_others({"t2"})
+        limiter = WarmupLimiter()
+        limiter.record("t1", 0.0)
+        limiter.retain_only({"t2"})
         self.assertTrue(limiter.admits("t1", 1, 0.1))
 
 
@@ -81,22 +81,22 @@
 
 class ChangesTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.changes = ColdNews()
+        self.changes = WarmupChanges()
 
     def test_the_start_and_the_end_of_a_warm_up_are_one_change_each(self) -> None:
-        self.assertTrue(self.changes.is_news(make_warming(3.0), RECORD, 10.0))
-        self.changes.note(make_warming(3.0), 10.0)
-        self.assertFalse(self.changes.is_news(make_warming(1.8), make_warming(3.0), 11.3))
-        self.assertTrue(self.changes.is_news(RECORD, make_warming(3.0), 13.6))
-        self.changes.note(RECORD, 13.6)
-        self.assertFalse(self.changes.is_news(RECORD, RECORD, 14.8))
+        self.assertTrue(self.changes.is_change(make_warming(3.0), RECORD, 10.0))
+        self.changes.record(make_warming(3.0), 10.0)
+        self.assertFalse(self.changes.is_change(make_warming(1.8), make_warming(3.0), 11.3))
+        self.assertTrue(self.changes.is_change(RECORD, make_warming(3.0), 13.6))
+        self.changes.record(RECORD, 13.6)
+        self.assertFalse(self.changes.is_change(RECORD, RECORD, 14.8))
 
     def test_a_warm_up_that_starts_again_is_a_change(self) -> None:
-        self.changes.note(make_warming(3.0), 10.0)
-        self.assertTrue(self.changes.is_news(make_warming(2.9), make_warming(3.0), 11.2))
+        self.changes.record(make_warming(3.0), 10.0)
+        self.assertTrue(self.changes.is_change(make_warming(2.9), make_warming(3.0), 11.2))
 
     def test_a_warm_up_recorded_by_another_replica_is_a_change(self) -> None:
-        self.assertTrue(self.changes.is_news(make_warming(1.8), make_warming(3.0), 11.2))
+        self.assertTrue(self.changes.is_change(make_warming(1.8), make_warming(3.0), 11.2))
 
 
 if __name__ == "__main__":
--- a/packages/damsonlaned/src/damsonlaned/control/_registry.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_registry.py
@@ -11,7 +11,6 @@
 from grpclib.server import Stream
 
 from damsonlane.cluster import Command, DocumentNoted, PackedDocument, ReplaceDocument
-from damsonlane.coldness import ColdNews
 from damsonlane.errors import SettingsError, UnavailableError
 from damsonlane.evacuation import EvacuateDataCentre, EvacuationNoted, RestoreDataCentre
 from damsonlane.quarantine import EXIT_WINDOW_SECONDS, ForgetTargetExits
@@ -23,6 +22,7 @@
     TargetRecord,
     find_record_fault,
 )
+from damsonlane.warmup import WarmupChanges
 from damsonlane_rpc import (
     REPORT_HEARTBEATS,
     ControlClient,
@@ -94,7 +94,7 @@
         self._node: Final = node
         self._data_centres: Final = frozenset(data_centres)
         self._services: Final = KnownServices(dialect)
-        self._warmups: Final = ColdNews()
+        self._warmups: Final = WarmupChanges()
         self._invalid_call_log: Final = LogRateLimiter(INVALID_CALL_LOG_SECONDS)
         self._leader: Final = LeaderClient(node, group, client)
         self._dialect: Final = dialect
@@ -175,7 +175,7 @@
             self._heartbeats.record(record.target, now)
         if known is None or self._is_change(record, known):
             await self._leader.submit(RegisterTarget(record=record))
-            self._warmups.note(record, now)
+            self._warmups.record(record, now)
             _LOG.info(
                 "target recorded",
                 extra={
@@ -198,7 +198,7 @@
         unchanged = (known.standing, known.address, known.service, known.slots)
         if (record.standing, record.address, record.service, record.slots) != unchanged:
             return True
-        return self._warmups.is_news(record, known, self._node.now())
+        return self._warmups.is_change(record, known, self._node.now())
 
     def _find_leader_http_address(self) -> str:
         """Return the address at which the leader receives heartbeats, or an empty string.
--- a/packages/damsonlaned/src/damsonlaned/gateway/_node.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_node.py
@@ -9,9 +9,9 @@
 
 from grpclib.const import Handler
 
-from damsonlane.coldness import ColdAllowance
 from damsonlane.ledger import Holder
 from damsonlane.settings import BoxSettings, Gateway
+from damsonlane.warmup import WarmupAllowance
 from damsonlane_rpc import ControlClient
 from damsonlaned.admin import AdminServer
 from damsonlaned.dialects import DIALECTS
@@ -59,7 +59,7 @@
         self._gateway: Final = gateway
         self._dialect: Final = DIALECTS[gateway.dialect]
         self._metrics: Final = Metrics()
-        warm_up_allowance = ColdAllowance(ratio=gateway.cold_ratio, slack=gateway.cold_slack)
+        warm_up_allowance = WarmupAllowance(ratio=gateway.cold_ratio, slack=gateway.cold_slack)
         self._view: Final = FleetView(self._dialect, warm_up_allowance)
         holder = Holder(box=settings.name, incarnation=secrets.token_hex(6))
         self._control_follower: Final = ControlFollower(
--- a/packages/damsonlaned/src/damsonlaned/gateway/_placer.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_placer.py
@@ -5,10 +5,10 @@
 from typing import Final
 
 from damsonlane.backoff import TargetIncarnation
-from damsonlane.coldness import ColdGate
 from damsonlane.placement import EngineTable, Placement, PlacementRequest, PromptOutcome
 from damsonlane.routes import EngineTraits
 from damsonlane.routing import Place, PromptSides
+from damsonlane.warmup import WarmupLimiter
 from damsonlaned.gateway._view import FleetView
 
 
@@ -29,7 +29,7 @@
         )
         self._book: Final = EngineTable(properties.cache_tokens, seconds_per_token)
         self._sides: Final = PromptSides()
-        self._warm_up_gate: Final = ColdGate()
+        self._warm_up_gate: Final = WarmupLimiter()
         self._places: tuple[Place, ...] = ()
         view.on_change(self._update_engines)
         self._update_engines()
@@ -56,7 +56,7 @@
         ]
         placement = self._book.place(sender, order, side, now, excluded, limited)
         if placement.target in warming_up:
-            self._warm_up_gate.note(placement.target, now)
+            self._warm_up_gate.record(placement.target, now)
         if placement.target in limited:
             # The placement includes the permit for this request.
             self._view.limits.take_permit(self._service, limited[placement.target])
@@ -86,7 +86,7 @@
             if record.standing == "live"
         )
         self._book.update(self._places)
-        self._warm_up_gate.forget_others({place.target for place in self._places})
+        self._warm_up_gate.retain_only({place.target for place in self._places})
 
 
 class PromptPlacers:
--- a/packages/damsonlaned/src/damsonlaned/gateway/_pool_owner.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_pool_owner.py
@@ -7,10 +7,10 @@
 from functools import partial
 from typing import Final
 
-from damsonlane.coldness import ColdGate
 from damsonlane.pools import PieceOrder, PieceQueue, WaitingPiece
 from damsonlane.quarantine import InterruptedRequest
 from damsonlane.routes import PoolTraits, Service
+from damsonlane.warmup import WarmupLimiter
 from damsonlaned.dialects import BadRequestError, Dialect, MadePiece
 from damsonlaned.gateway._ended_targets import EndedTargets
 from damsonlaned.gateway._free_calls import FreeCalls
@@ -82,7 +82,7 @@
         self._answers: Final = PieceAnswers(
             self._receivers, WaitForecasts(self._estimate_wait), metrics, self.free
         )
-        self._warm_up_gate: Final = ColdGate()
+        self._warm_up_gate: Final = WarmupLimiter()
         self._tasks: set[asyncio.Task[None]] = set()
         self._check_timer: asyncio.TimerHandle | None = None
         view.on_change(self._update_targets)
@@ -165,7 +165,7 @@
                 # The owner sends all of the fleet's calls, so it enforces the rate limit here.
                 target.take_permit()
                 if target.name in warming_up:
-                    self._warm_up_gate.note(target.name, now)
+                    self._warm_up_gate.record(target.name, now)
                 self._start(service, call)
         if len(self._queue):
             self._schedule_check(now)
--- a/packages/damsonlaned/src/damsonlaned/gateway/_targets.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_targets.py
@@ -7,7 +7,6 @@
 from typing import Final
 
 from damsonlane.backoff import TargetIncarnation
-from damsonlane.coldness import ColdGate, find_entry_share
 from damsonlane.routes import Service
 from damsonlane.routing import (
     Choice,
@@ -20,6 +19,7 @@
     TargetBook,
 )
 from damsonlane.targets import TargetRecord
+from damsonlane.warmup import WarmupLimiter, find_entry_share
 from damsonlaned.dialects import AnswerSigns
 from damsonlaned.gateway._placement_client import PlacedPrompt
 from damsonlaned.gateway._view import FleetView
@@ -90,7 +90,7 @@
         own_address: str = "",
     ) -> None:
         self._own_address: Final = own_address
-        self._warm_up_gate: Final = ColdGate()
+        self._warm_up_gate: Final = WarmupLimiter()
         self._incarnations: dict[str, int] = {}
         self._view: Final = view
         self._data_centre: Final = data_centre
@@ -141,7 +141,7 @@
         if choice is None:
             return None
         if choice.target in warming_up:
-            self._warm_up_gate.note(choice.target, self._now())
+            self._warm_up_gate.record(choice.target, self._now())
         return self._make_chosen(service, choice)
 
     def _list_closed(self, records: Sequence[TargetRecord]) -> set[str]:
@@ -305,7 +305,7 @@
         for target in set(self._connections) - known:
             self._connections.pop(target).close()
         self._misdirected &= known
-        self._warm_up_gate.forget_others(known)
+        self._warm_up_gate.retain_only(known)
         self._incarnations = incarnations
 
     def _update_table(self, service: str) -> None:
--- a/packages/damsonlaned/src/damsonlaned/gateway/_view.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_view.py
@@ -7,12 +7,12 @@
 
 from damsonlane.backoff import TargetIncarnation
 from damsonlane.cluster import PackedDocument
-from damsonlane.coldness import ColdAllowance, ColdBound
 from damsonlane.errors import SettingsError
 from damsonlane.evacuation import EvacuationList
 from damsonlane.membership import BoxRecord
 from damsonlane.routes import RouteTable, Service
 from damsonlane.targets import TargetChanges, TargetRecord
+from damsonlane.warmup import WarmupAllowance, WarmupLimit
 from damsonlaned.clock import read_clock
 from damsonlaned.dialects import Dialect
 from damsonlaned.gateway._rate_limits import RateLimits
@@ -38,11 +38,11 @@
     def __init__(
         self,
         dialect: Dialect,
-        warm_up: ColdAllowance | None = None,
+        warm_up: WarmupAllowance | None = None,
         clock: Callable[[], float] = read_clock,
     ) -> None:
         self._dialect: Final = dialect
-        self._warm_up_allowance: Final = warm_up or ColdAllowance()
+        self._warm_up_allowance: Final = warm_up or WarmupAllowance()
         self._clock: Final = clock
         #: The routing document in force, or None until the first one was received.
         self.table: RouteTable | None = None
@@ -141,12 +141,12 @@
         record = self._targets.get(named.target)
         return record is not None and TargetIncarnation.of(record) == named
 
-    def find_cold_bound(self, service: str) -> ColdBound | None:
+    def find_cold_bound(self, service: str) -> WarmupLimit | None:
         """Return the load limit of a service's targets during warm-up; None if there is none."""
         known = self.table.service(service) if self.table is not None else None
         if known is None or known.cold_rate <= 0:
             return None
-        return self._warm_up_allowance.bound(known.cold_rate)
+        return self._warm_up_allowance.limit_for(known.cold_rate)
 
     def list_cold(self, service: str) -> list[str]:
         """Return the targets of a service that are warming up."""
