--- a/packages/damsonlane/src/damsonlane/cluster/_state.py
+++ b/packages/damsonlane/src/damsonlane/cluster/_state.py
@@ -23,7 +23,7 @@
 from damsonlane.costs import CostBook, CostsRecorded, CostTotal, RecordCosts, SenderProgress
 from damsonlane.evacuation import (
     EvacuateDataCentre,
-    EvacuationNoted,
+    EvacuationRecorded,
     Evacuations,
     EvacuationsSnapshot,
     RestoreDataCentre,
@@ -94,7 +94,7 @@
     | BoxNoted
     | DocumentNoted
     | TargetNoted
-    | EvacuationNoted
+    | EvacuationRecorded
     | QuarantineRecorded
     | RateLimitsRecorded,
     Field(discriminator="kind"),
--- a/packages/damsonlane/src/damsonlane/evacuation/_evacuations.py
+++ b/packages/damsonlane/src/damsonlane/evacuation/_evacuations.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class EvacuationNoted:
+class EvacuationRecorded:
     """The reply to both commands: the command was accepted."""
 
     kind: Literal["evacuation-noted"] = "evacuation-noted"
@@ -102,12 +102,12 @@
         """Return the list that is sent to entries."""
         return EvacuationList(revision=self.revision, data_centres=tuple(self._evacuations))
 
-    def apply(self, command: EvacuateDataCentre | RestoreDataCentre) -> EvacuationNoted:
+    def apply(self, command: EvacuateDataCentre | RestoreDataCentre) -> EvacuationRecorded:
         """Apply one command; it changes nothing if it asks for the current state."""
         name = command.data_centre
         is_evacuation = isinstance(command, EvacuateDataCentre)
         if is_evacuation == (name in self._evacuations):
-            return EvacuationNoted(is_changed=False)
+            return EvacuationRecorded(is_changed=False)
         self.revision += 1
         if is_evacuation:
             self._evacuations[name] = Evacuation(
@@ -115,4 +115,4 @@
             )
         else:
             del self._evacuations[name]
-        return EvacuationNoted(is_changed=True)
+        return EvacuationRecorded(is_changed=True)
--- a/packages/damsonlane/src/damsonlane/evacuation/tests/test_evacuations.py
+++ b/packages/damsonlane/src/damsonlane/evacuation/tests/test_evacuations.py
@@ -5,7 +5,7 @@
 from damsonlane.cluster import ClusterState, decode_command, encode_command
 from damsonlane.evacuation import (
     EvacuateDataCentre,
-    EvacuationNoted,
+    EvacuationRecorded,
     Evacuations,
     RestoreDataCentre,
 )
@@ -33,7 +33,7 @@
             restore("johar"),
         ]
         for number, command in enumerate(commands):
-            self.assertEqual(self.state.apply(command), EvacuationNoted(is_changed=True))
+            self.assertEqual(self.state.apply(command), EvacuationRecorded(is_changed=True))
             self.assertEqual(self.state.revision, number + 1)
         self.assertEqual(self.names(), ("dha",))
 
--- a/packages/damsonlane_cli/src/damsonlane_cli/_data_centres.py
+++ b/packages/damsonlane_cli/src/damsonlane_cli/_data_centres.py
@@ -4,7 +4,7 @@
 from datetime import UTC, datetime
 from typing import Final
 
-from damsonlane.evacuation import EvacuateDataCentre, EvacuationNoted, RestoreDataCentre
+from damsonlane.evacuation import EvacuateDataCentre, EvacuationRecorded, RestoreDataCentre
 from damsonlane_cli._context import (
     EXIT_INPUT,
     EXIT_REFUSED,
@@ -76,7 +76,7 @@
             reply = (await client.submit([command], seconds))[0]
         except ForbiddenError as error:
             fail(str(error), EXIT_REFUSED)
-        is_changed = isinstance(reply, EvacuationNoted) and reply.is_changed
+        is_changed = isinstance(reply, EvacuationRecorded) and reply.is_changed
         state = "evacuated" if isinstance(command, EvacuateDataCentre) else "in use"
         print(f"{command.data_centre} is {state}{'' if is_changed else ', as before'}")
 
--- a/packages/damsonlaned/src/damsonlaned/control/_registry.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_registry.py
@@ -12,7 +12,7 @@
 
 from damsonlane.cluster import Command, DocumentNoted, PackedDocument, ReplaceDocument
 from damsonlane.errors import SettingsError, UnavailableError
-from damsonlane.evacuation import EvacuateDataCentre, EvacuationNoted, RestoreDataCentre
+from damsonlane.evacuation import EvacuateDataCentre, EvacuationRecorded, RestoreDataCentre
 from damsonlane.quarantine import EXIT_WINDOW_SECONDS, ForgetTargetExits
 from damsonlane.routes import check_document
 from damsonlane.targets import (
@@ -226,7 +226,7 @@
             _LOG.warning("evacuation refused", extra={"data_centre": name})
             return self._refuse(404, f"there is no data centre {name!r:.80}")
         reply = await self._leader.submit(_make_command(change))
-        is_changed = isinstance(reply, EvacuationNoted) and reply.is_changed
+        is_changed = isinstance(reply, EvacuationRecorded) and reply.is_changed
         fields = {"data_centre": name, "restored": is_restored, "changed": is_changed}
         _LOG.info("evacuation accepted", extra=fields)
         return HttpResponse(status=200)
--- a/packages/damsonlaned/src/damsonlaned/control/tests/test_group.py
+++ b/packages/damsonlaned/src/damsonlaned/control/tests/test_group.py
@@ -8,7 +8,7 @@
 from damsonlane.agreement import Applicant, Replica
 from damsonlane.cluster import PackedDocument, ReplaceDocument
 from damsonlane.errors import AgreementError, UnavailableError
-from damsonlane.evacuation import EvacuateDataCentre, EvacuationNoted
+from damsonlane.evacuation import EvacuateDataCentre, EvacuationRecorded
 from damsonlane_rpc import (
     NotAMember,
     NotLeader,
@@ -124,7 +124,7 @@
         leader = LeaderClient(follower.node, follower.group, follower.client)
         command = EvacuateDataCentre(data_centre="dha", call="c", operator="registry", at=1.0)
         reply = await leader.submit(command)
-        self.assertEqual(reply, EvacuationNoted(is_changed=True))
+        self.assertEqual(reply, EvacuationRecorded(is_changed=True))
         await self.stop(0, 1)
         for number in (0, 1):
             self.boxes[self.addresses[number]].erase()
