--- a/packages/damsonlane/src/damsonlane/cluster/_state.py
+++ b/packages/damsonlane/src/damsonlane/cluster/_state.py
@@ -55,10 +55,10 @@
     RecordRateLimits,
 )
 from damsonlane.targets import (
+    MarkTargetsSilent,
     RegisterTarget,
     RemoveTarget,
-    SilenceTargets,
-    TargetNoted,
+    TargetRecorded,
     TargetRegistry,
     TargetsSnapshot,
 )
@@ -75,7 +75,7 @@
     | ReplaceDocument
     | RegisterTarget
     | RemoveTarget
-    | SilenceTargets
+    | MarkTargetsSilent
     | EvacuateDataCentre
     | RestoreDataCentre
     | RecordTargetExit
@@ -93,7 +93,7 @@
     | CostsRecorded
     | BoxNoted
     | DocumentNoted
-    | TargetNoted
+    | TargetRecorded
     | EvacuationRecorded
     | QuarantineRecorded
     | RateLimitsRecorded,
@@ -195,7 +195,7 @@
                 return self.membership.lose(command)
             case ReplaceDocument():
                 return self.documents.replace(command)
-            case RegisterTarget() | RemoveTarget() | SilenceTargets():
+            case RegisterTarget() | RemoveTarget() | MarkTargetsSilent():
                 reply = self.targets.apply(command)
                 self._drop_stale_limits(command)
                 return reply
@@ -206,9 +206,11 @@
             case RecordRateLimits():
                 return self.rate_limits.apply(command)
 
-    def _drop_stale_limits(self, command: RegisterTarget | RemoveTarget | SilenceTargets) -> None:
+    def _drop_stale_limits(
+        self, command: RegisterTarget | RemoveTarget | MarkTargetsSilent
+    ) -> None:
         """Drop rate limits of a target's earlier incarnations, or all if it was removed."""
-        if isinstance(command, SilenceTargets):
+        if isinstance(command, MarkTargetsSilent):
             return
         name = command.record.target if isinstance(command, RegisterTarget) else command.target
         record = self.targets.find(name)
--- a/packages/damsonlane/src/damsonlane/targets/__init__.py
+++ b/packages/damsonlane/src/damsonlane/targets/__init__.py
@@ -1,12 +1,12 @@
 """Records of targets that register themselves, and the replicated registry."""
 
-from damsonlane.targets._checks import find_record_fault
+from damsonlane.targets._checks import find_record_error
 from damsonlane.targets._records import (
+    MarkTargetsSilent,
     RegisterTarget,
     RemoveTarget,
-    SilenceTargets,
-    TargetNoted,
     TargetRecord,
+    TargetRecorded,
     TargetStanding,
 )
 from damsonlane.targets._registry import TargetChanges, TargetRegistry, TargetsSnapshot
@@ -14,12 +14,12 @@
 __all__ = [
     "RegisterTarget",
     "RemoveTarget",
-    "SilenceTargets",
+    "MarkTargetsSilent",
     "TargetChanges",
-    "TargetNoted",
+    "TargetRecorded",
     "TargetRecord",
     "TargetRegistry",
     "TargetStanding",
     "TargetsSnapshot",
-    "find_record_fault",
+    "find_record_error",
 ]
--- a/packages/damsonlane/src/damsonlane/targets/_checks.py
+++ b/packages/damsonlane/src/damsonlane/targets/_checks.py
@@ -12,7 +12,7 @@
 MAX_WARMUP_SECONDS: Final = 86_400.0
 
 
-def find_record_fault(record: TargetRecord) -> str:
+def find_record_error(record: TargetRecord) -> str:
     """Return what is wrong with a record, or an empty string.
 
     The names of a correct record are valid in headers, its address can be connected to, and its
--- a/packages/damsonlane/src/damsonlane/targets/_records.py
+++ b/packages/damsonlane/src/damsonlane/targets/_records.py
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class SilenceTargets:
+class MarkTargetsSilent:
     """Command: mark targets without recent heartbeats, which become the last choice."""
 
     kind: Literal["silence-targets"] = "silence-targets"
@@ -71,7 +71,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class TargetNoted:
+class TargetRecorded:
     """The reply to all commands about targets."""
 
     kind: Literal["target-noted"] = "target-noted"
--- a/packages/damsonlane/src/damsonlane/targets/_registry.py
+++ b/packages/damsonlane/src/damsonlane/targets/_registry.py
@@ -4,11 +4,11 @@
 from typing import Final
 
 from damsonlane.targets._records import (
+    MarkTargetsSilent,
     RegisterTarget,
     RemoveTarget,
-    SilenceTargets,
-    TargetNoted,
     TargetRecord,
+    TargetRecorded,
 )
 
 #: Most removed targets that are remembered, so that a delayed heartbeat does not add one again.
@@ -103,7 +103,7 @@
         known = self._known.get(target)
         return known.record if known else None
 
-    def is_gone(self, target: str) -> bool:
+    def is_removed(self, target: str) -> bool:
         """Return whether a target was removed for good."""
         gone = self._removed.get(target)
         return gone is not None and gone.sequence is None
@@ -120,16 +120,16 @@
             gone=tuple(gone.target for gone in self._removed.values() if gone.revision > revision),
         )
 
-    def apply(self, command: RegisterTarget | RemoveTarget | SilenceTargets) -> TargetNoted:
+    def apply(self, command: RegisterTarget | RemoveTarget | MarkTargetsSilent) -> TargetRecorded:
         """Apply one command."""
         match command:
             case RegisterTarget(record=record):
-                return TargetNoted(is_changed=self._register(record))
+                return TargetRecorded(is_changed=self._register(record))
             case RemoveTarget():
-                return TargetNoted(is_changed=self._apply_removal(command))
-            case SilenceTargets(targets=targets):
+                return TargetRecorded(is_changed=self._apply_removal(command))
+            case MarkTargetsSilent(targets=targets):
                 changes = [self._silence(target) for target in targets]
-                return TargetNoted(is_changed=any(changes))
+                return TargetRecorded(is_changed=any(changes))
 
     def _register(self, record: TargetRecord) -> bool:
         others = self._list_others_at(record)
--- a/packages/damsonlane/src/damsonlane/targets/tests/test_registry.py
+++ b/packages/damsonlane/src/damsonlane/targets/tests/test_registry.py
@@ -8,9 +8,9 @@
 
 from damsonlane.codec import decode_bytes, encode_bytes
 from damsonlane.targets import (
+    MarkTargetsSilent,
     RegisterTarget,
     RemoveTarget,
-    SilenceTargets,
     TargetRecord,
     TargetRegistry,
     TargetsSnapshot,
@@ -112,14 +112,14 @@
 
     def test_a_heartbeat_makes_a_silent_target_live_again(self) -> None:
         self.register()
-        self.registry.apply(SilenceTargets(targets=("t1", "unknown")))
+        self.registry.apply(MarkTargetsSilent(targets=("t1", "unknown")))
         self.assertEqual(self.standing(), "silent")
         self.register(sequence=2)
         self.assertEqual(self.standing(), "live")
 
     def test_a_draining_target_does_not_turn_silent(self) -> None:
         self.register(standing="leaving")
-        self.registry.apply(SilenceTargets(targets=("t1",)))
+        self.registry.apply(MarkTargetsSilent(targets=("t1",)))
         self.assertEqual(self.standing(), "leaving")
 
     def test_changes_lead_to_the_same_records(self) -> None:
--- a/packages/damsonlaned/src/damsonlaned/control/_registry.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_registry.py
@@ -16,11 +16,11 @@
 from damsonlane.quarantine import EXIT_WINDOW_SECONDS, ForgetTargetExits
 from damsonlane.routes import check_document
 from damsonlane.targets import (
+    MarkTargetsSilent,
     RegisterTarget,
     RemoveTarget,
-    SilenceTargets,
     TargetRecord,
-    find_record_fault,
+    find_record_error,
 )
 from damsonlane.warmup import WarmupChanges
 from damsonlane_rpc import (
@@ -166,7 +166,7 @@
         is_known = self._node.state.targets.find(record.target) is not None
         if not is_known and not self._services.has(document, record.service):
             return f"there is no service {record.service!r:.80}"
-        return find_record_fault(record)
+        return find_record_error(record)
 
     async def _record_heartbeat(self, record: TargetRecord) -> HttpResponse:
         known = self._node.state.targets.find(record.target)
@@ -210,7 +210,7 @@
 
     async def _remove_target(self, departure: Departure) -> HttpResponse:
         target = departure.target
-        if not self._node.state.targets.is_gone(target):
+        if not self._node.state.targets.is_removed(target):
             await self._leader.submit(RemoveTarget(target=target, start=departure.start))
             _LOG.info("target removed", extra={"target": target, "start": departure.start})
         self._heartbeats.forget(target)
@@ -303,7 +303,7 @@
             if record.standing == "live" and self._heartbeats.is_silent(record.target, now)
         )
         if names:
-            await self._leader.submit(SilenceTargets(targets=names))
+            await self._leader.submit(MarkTargetsSilent(targets=names))
             _LOG.warning("targets marked as silent", extra={"targets": names})
 
     async def _remove_old_exits(self) -> None:
