--- a/packages/damsonlane/src/damsonlane/placement/_engine_table.py
+++ b/packages/damsonlane/src/damsonlane/placement/_engine_table.py
@@ -17,7 +17,7 @@
 from damsonlane.placement._prefill_pace import BASE_SECONDS, PrefillPace
 from damsonlane.placement._prompts import Placement, PlacementRequest, PromptOutcome
 from damsonlane.placement._transfers import NO_TRANSFER, Transfer, plan_transfers
-from damsonlane.routing import Place, rank_target
+from damsonlane.routing import EngineLocation, rank_target
 
 #: Extra cost of prefilling a shared segment again, as a multiple of the time it takes: it costs
 #: money, and evicts other segments from the cache.
@@ -83,7 +83,7 @@
         self._pace: Final = PrefillPace()
         self._pending: dict[tuple[str, int], _Pending] = {}
 
-    def update(self, places: Collection[Place]) -> None:
+    def update(self, places: Collection[EngineLocation]) -> None:
         """Replace the usable engines; the cache of a restarted engine is empty."""
         for removed in set(self._engines) - {place.target for place in places}:
             del self._engines[removed]
--- a/packages/damsonlane/src/damsonlane/placement/tests/simulation.py
+++ b/packages/damsonlane/src/damsonlane/placement/tests/simulation.py
@@ -19,7 +19,7 @@
 )
 from damsonlane.placement._prefix_cache import PrefixCache
 from damsonlane.ratelimit import RateBucket
-from damsonlane.routing import Origin, Place, Standing, TargetBook
+from damsonlane.routing import EngineLocation, Origin, TargetLocation, TargetTable
 
 #: Prefill speed of an engine, in tokens per second.
 TOKENS_PER_SECOND: Final = 38_400
@@ -196,7 +196,7 @@
 
     def choose(self, entry: int, order: PlacementRequest, now: float) -> Placement:
         self._table.update(
-            [Place(target=name, data_centre="") for name in self._simulation.engines]
+            [EngineLocation(target=name, data_centre="") for name in self._simulation.engines]
         )
         exhausted = [name for name, bucket in self._buckets.items() if bucket.wait_seconds(now) > 0]
         placement = self._table.place(
@@ -214,12 +214,12 @@
     def __init__(self, simulation: EngineSimulation) -> None:
         self._simulation = simulation
         self._random = random.Random(1)
-        self._tables = [TargetBook() for _ in range(6)]
+        self._tables = [TargetTable() for _ in range(6)]
         self._chosen: dict[int, str] = {}
 
     def choose(self, entry: int, order: PlacementRequest, now: float) -> Placement:
         names = self._simulation.engines
-        self._tables[entry].update({n: Standing(address=n, data_centre="x") for n in names})
+        self._tables[entry].update({n: TargetLocation(address=n, data_centre="x") for n in names})
         origin = Origin(data_centre="x", affinity=order.shared[-1].identity)
         choice = self._tables[entry].choose(
             "prefix-affinity", origin, now=now, randomness=self._random
--- a/packages/damsonlane/src/damsonlane/placement/tests/test_placement.py
+++ b/packages/damsonlane/src/damsonlane/placement/tests/test_placement.py
@@ -13,7 +13,7 @@
 )
 from damsonlane.placement._prefix_cache import CACHE_SHARE, PrefixCache
 from damsonlane.placement.tests.simulation import PromptLoad, simulate_central, simulate_independent
-from damsonlane.routing import Place
+from damsonlane.routing import EngineLocation
 
 ENGINES = ("a", "b", "c")
 #: Seconds per token of a transfer between engines: 160 KB over 260 Gbit/s.
@@ -42,7 +42,7 @@
 class EngineTableTest(unittest.TestCase):
     def setUp(self) -> None:
         self.table = EngineTable(300_000)
-        self.table.update([Place(target=name, data_centre="") for name in ENGINES])
+        self.table.update([EngineLocation(target=name, data_centre="") for name in ENGINES])
 
     def place(self, order: PlacementRequest, now: float = 0.0) -> str:
         return self.table.place("e", order, ENGINES, now).target
@@ -95,7 +95,7 @@
 
     def setUp(self) -> None:
         self.table = EngineTable(300_000, TRANSFER_PACE)
-        self.table.update([Place(target=name, data_centre=name) for name in ENGINES])
+        self.table.update([EngineLocation(target=name, data_centre=name) for name in ENGINES])
 
     def place(self, order: PlacementRequest, now: float = 0.0) -> Placement:
         return self.table.place("e", order, ENGINES, now)
@@ -120,7 +120,7 @@
 
     def test_without_transfers_no_segments_are_fetched(self) -> None:
         table = EngineTable(300_000)
-        table.update([Place(target=name, data_centre=name) for name in ENGINES])
+        table.update([EngineLocation(target=name, data_centre=name) for name in ENGINES])
         first = table.place("e", make_order(1), ENGINES, 0.0).target
         self.assertEqual(table.place("e", make_order(2, avoid=(first,)), ENGINES, 5.0).source, "")
 
--- a/packages/damsonlane/src/damsonlane/requests/tests/session.py
+++ b/packages/damsonlane/src/damsonlane/requests/tests/session.py
@@ -32,7 +32,7 @@
     Wait,
     decode_answer,
 )
-from damsonlane.routing import Choice, LoadReport, Origin, Standing, TargetBook
+from damsonlane.routing import LoadReport, Origin, TargetChoice, TargetLocation, TargetTable
 from damsonlane.settings import Lane
 
 #: Duration of a commit, in seconds.
@@ -81,7 +81,7 @@
     """The state of one entry."""
 
     def __init__(self, services: dict[str, list[FakeTarget]]) -> None:
-        self.books = {service: TargetBook() for service in services}
+        self.books = {service: TargetTable() for service in services}
         self.meters = {service: ServiceMeter() for service in services}
         self.limits = InFlightLimits()
         self.budget = RetryBudget()
@@ -89,7 +89,7 @@
         self.is_crashed = False
         for service, targets in services.items():
             standings = {
-                target.name: Standing(address=f"127.0.0.1:{number}", data_centre="one")
+                target.name: TargetLocation(address=f"127.0.0.1:{number}", data_centre="one")
                 for number, target in enumerate(targets)
             }
             self.books[service].update(standings)
@@ -191,7 +191,7 @@
         is_gone = holder is not None and self._entries[holder.box].is_crashed
         return replace(reply, is_holder_gone=is_gone) if reply.verdict == "busy" else reply
 
-    def choose(self, entry: str, send: Send, now: float) -> Choice | None:
+    def choose(self, entry: str, send: Send, now: float) -> TargetChoice | None:
         """Choose a target as the entry would."""
         state = self._entries[entry]
         choice = state.books[send.stage.service].choose(
@@ -206,7 +206,7 @@
             state.meters[send.stage.service].begin()
         return choice
 
-    def call(self, choice: Choice, send: Send, now: float) -> tuple[float, AttemptResult]:
+    def call(self, choice: TargetChoice, send: Send, now: float) -> tuple[float, AttemptResult]:
         """Call a target; return the time of its answer and the answer."""
         target = next(t for t in self._services[send.stage.service] if t.name == choice.target)
         if now >= target.drains_at:
@@ -227,7 +227,7 @@
         entry: str,
         request: Request,
         send: Send,
-        choice: Choice,
+        choice: TargetChoice,
         now: float,
         began_at: float,
         result: AttemptResult,
--- a/packages/damsonlane/src/damsonlane/routing/__init__.py
+++ b/packages/damsonlane/src/damsonlane/routing/__init__.py
@@ -1,6 +1,6 @@
 """Routing: the choice of a target for a request."""
 
-from damsonlane.routing._partition import Place, PromptSides
+from damsonlane.routing._partition import EngineLocation, PromptPartition
 from damsonlane.routing._policies import (
     POLICIES,
     RoutingPolicy,
@@ -8,20 +8,26 @@
     rank_target,
     routing_policy,
 )
-from damsonlane.routing._table import Choice, Health, LoadReport, Standing, TargetBook
+from damsonlane.routing._table import (
+    HealthSignal,
+    LoadReport,
+    TargetChoice,
+    TargetLocation,
+    TargetTable,
+)
 from damsonlane.routing._views import Origin, TargetView
 
 __all__ = [
     "POLICIES",
-    "Choice",
-    "Health",
+    "TargetChoice",
+    "HealthSignal",
     "LoadReport",
     "Origin",
-    "Place",
-    "PromptSides",
+    "EngineLocation",
+    "PromptPartition",
     "RoutingPolicy",
-    "Standing",
-    "TargetBook",
+    "TargetLocation",
+    "TargetTable",
     "TargetView",
     "predict_time",
     "rank_target",
--- a/packages/damsonlane/src/damsonlane/routing/_partition.py
+++ b/packages/damsonlane/src/damsonlane/routing/_partition.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Place:
+class EngineLocation:
     """An engine and its data centre."""
 
     #: Name of the engine.
@@ -32,7 +32,7 @@
     start: int = 0
 
 
-class PromptSides:
+class PromptPartition:
     """Partitions the engines of one service by the share of tokens in long prompts.
 
     All entries use the same order of engines and have about the same traffic, so their partitions
@@ -43,10 +43,10 @@
         self._long = INITIAL_LONG_SHARE * INITIAL_TOKENS
         self._all = INITIAL_TOKENS
         #: The engines of the last call, and their order.
-        self._engines: Sequence[Place] = ()
-        self._interleaved: Sequence[Place] = ()
+        self._engines: Sequence[EngineLocation] = ()
+        self._interleaved: Sequence[EngineLocation] = ()
 
-    def note(self, tokens: int) -> None:
+    def record(self, tokens: int) -> None:
         """Record the prompt of a request.
 
         Args:
@@ -56,7 +56,7 @@
         self._all = self._all * decay + tokens
         self._long = self._long * decay + (tokens if _is_long(tokens) else 0)
 
-    def find_side(self, tokens: int, places: tuple[Place, ...]) -> frozenset[str]:
+    def find_engines(self, tokens: int, places: tuple[EngineLocation, ...]) -> frozenset[str]:
         """Return the engines for a prompt.
 
         Args:
@@ -84,9 +84,9 @@
     return tokens >= LONG_PROMPT_TOKENS
 
 
-def _interleave(places: Sequence[Place]) -> list[Place]:
+def _interleave(places: Sequence[EngineLocation]) -> list[EngineLocation]:
     """Return the engines in an order that alternates between data centres."""
-    by_centre: dict[str, list[Place]] = {}
+    by_centre: dict[str, list[EngineLocation]] = {}
     for place in sorted(places, key=lambda place: _hash(place.target)):
         by_centre.setdefault(place.data_centre, []).append(place)
     positions = {
--- a/packages/damsonlane/src/damsonlane/routing/_table.py
+++ b/packages/damsonlane/src/damsonlane/routing/_table.py
@@ -26,11 +26,11 @@
 SLOWNESS_RANGE: Final = (0.1, 20.0)
 
 #: What the outcome of an attempt says about the target's health.
-Health = Literal["good", "bad", "neutral"]
+HealthSignal = Literal["good", "bad", "neutral"]
 
 
 @dataclass(frozen=True, kw_only=True)
-class Standing:
+class TargetLocation:
     """Address, data centre and incarnation of a target."""
 
     #: Address as an IP number and a port.
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Choice:
+class TargetChoice:
     """A chosen target."""
 
     #: Its name.
@@ -66,7 +66,7 @@
 class _TargetState:
     """Load and health of one target."""
 
-    def __init__(self, standing: Standing) -> None:
+    def __init__(self, standing: TargetLocation) -> None:
         self.standing = standing
         self.in_flight = 0
         self.others = 0.0
@@ -96,13 +96,13 @@
         return now < self.ejected_until or self.in_flight > 0
 
 
-class TargetBook:
+class TargetTable:
     """Table of the targets of one service, with their load and health at one entry."""
 
     def __init__(self) -> None:
         self._records: dict[str, _TargetState] = {}
 
-    def update(self, standings: Mapping[str, Standing]) -> None:
+    def update(self, standings: Mapping[str, TargetLocation]) -> None:
         """Replace the set of targets; the state of those that are not in it is dropped."""
         for name, standing in standings.items():
             known = self._records.get(name)
@@ -113,7 +113,7 @@
         for gone in set(self._records) - set(standings):
             del self._records[gone]
 
-    def standings(self) -> Mapping[str, Standing]:
+    def locations(self) -> Mapping[str, TargetLocation]:
         """Return address, data centre and incarnation of all targets, by name."""
         return {name: record.standing for name, record in self._records.items()}
 
@@ -128,7 +128,7 @@
         leaving: Collection[str] = (),
         now: float,
         randomness: random.Random,
-    ) -> Choice | None:
+    ) -> TargetChoice | None:
         """Choose a target and count the request as in flight there.
 
         Args:
@@ -158,7 +158,7 @@
         record.in_flight += 1
         return _make_choice(chosen.name, record)
 
-    def take(self, target: str) -> Choice | None:
+    def assign(self, target: str) -> TargetChoice | None:
         """Count a request as in flight at a target that was chosen elsewhere.
 
         Args:
@@ -180,7 +180,7 @@
     def finish(
         self,
         target: str,
-        health: Health,
+        health: HealthSignal,
         now: float,
         *,
         pace: float | None = None,
@@ -245,12 +245,12 @@
         record.measured_at = now
 
 
-def _make_choice(name: str, record: _TargetState) -> Choice:
+def _make_choice(name: str, record: _TargetState) -> TargetChoice:
     standing = record.standing
-    return Choice(target=name, address=standing.address, start=standing.start)
+    return TargetChoice(target=name, address=standing.address, start=standing.start)
 
 
-def _is_same_incarnation(known: Standing, update: Standing) -> bool:
+def _is_same_incarnation(known: TargetLocation, update: TargetLocation) -> bool:
     """Return whether two records are about the same incarnation of a target."""
     return (known.address, known.start) == (update.address, update.start)
 
--- a/packages/damsonlane/src/damsonlane/routing/tests/test_table.py
+++ b/packages/damsonlane/src/damsonlane/routing/tests/test_table.py
@@ -4,16 +4,18 @@
 import unittest
 from collections import Counter
 
-from damsonlane.routing import POLICIES, LoadReport, Origin, Standing, TargetBook
+from damsonlane.routing import POLICIES, LoadReport, Origin, TargetLocation, TargetTable
 
 _ORIGIN = Origin(data_centre="johar")
 
 
-def _make_table(count: int = 4, data_centre: str = "johar") -> TargetBook:
-    table = TargetBook()
+def _make_table(count: int = 4, data_centre: str = "johar") -> TargetTable:
+    table = TargetTable()
     table.update(
         {
-            f"t{number}": Standing(address=f"127.0.0.1:{9000 + number}", data_centre=data_centre)
+            f"t{number}": TargetLocation(
+                address=f"127.0.0.1:{9000 + number}", data_centre=data_centre
+            )
             for number in range(count)
         }
     )
@@ -24,7 +26,7 @@
     def setUp(self) -> None:
         self.randomness = random.Random(1)
 
-    def _choose(self, table: TargetBook, now: float = 0.0, **options: object) -> str | None:
+    def _choose(self, table: TargetTable, now: float = 0.0, **options: object) -> str | None:
         policy = str(options.pop("policy", "predicted"))
         choice = table.choose(
             policy,
@@ -106,8 +108,8 @@
         table = _make_table(1)
         table.update(
             {
-                "near": Standing(address="127.0.0.1:1", data_centre="johar"),
-                "far": Standing(address="127.0.0.1:2", data_centre="dha"),
+                "near": TargetLocation(address="127.0.0.1:1", data_centre="johar"),
+                "far": TargetLocation(address="127.0.0.1:2", data_centre="dha"),
             }
         )
         self.assertEqual(self._choose(table, policy="paced"), "near")
@@ -142,7 +144,7 @@
         self.assertEqual(chosen[0], chosen[1])
         self.assertLessEqual(max(Counter(chosen).values()), 4)
 
-    def _fail(self, table: TargetBook, name: str, times: int) -> None:
+    def _fail(self, table: TargetTable, name: str, times: int) -> None:
         others = tuple(f"t{number}" for number in range(4) if f"t{number}" != name)
         for _ in range(times):
             self._choose(table, avoid=others)
--- a/packages/damsonlaned/src/damsonlaned/entry/_dispatcher.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_dispatcher.py
@@ -11,7 +11,14 @@
 from damsonlane.backoff import TargetIncarnation
 from damsonlane.quarantine import InterruptedRequest
 from damsonlane.requests import AttemptResult, Request, Send
-from damsonlane.routing import Choice, Health, LoadReport, Origin, Standing, TargetBook
+from damsonlane.routing import (
+    HealthSignal,
+    LoadReport,
+    Origin,
+    TargetChoice,
+    TargetLocation,
+    TargetTable,
+)
 from damsonlaned.clock import read_clock
 from damsonlaned.entry._draining_targets import DrainingTargets
 from damsonlaned.entry._rate_limited_targets import NoPermitSource, RateLimitedTargets
@@ -56,7 +63,7 @@
         self._draining: Final = draining
         self._backoff: Final = TargetBackoff()
         self._connections: Final = Connections()
-        self._tables: dict[str, TargetBook] = {}
+        self._tables: dict[str, TargetTable] = {}
         self._meters: dict[str, ServiceMeter] = {}
         self._version = 0
         self._lock: Final = threading.Lock()
@@ -138,7 +145,7 @@
         """Close all connections to targets."""
         self._connections.close()
 
-    def _choose(self, send: Send, settings: SettingsInForce) -> "Choice | _NoTarget":
+    def _choose(self, send: Send, settings: SettingsInForce) -> "TargetChoice | _NoTarget":
         """Choose a target, with a permit if it has a rate limit."""
         service = send.stage.service
         with self._lock:
@@ -171,7 +178,7 @@
             unlimited = self._choose_except(send, {choice.target, *rate_limited})
             return unlimited or _NoTarget(retry_after=self._find_wait_seconds(service))
 
-    def _choose_except(self, send: Send, excluded: Collection[str]) -> Choice | None:
+    def _choose_except(self, send: Send, excluded: Collection[str]) -> TargetChoice | None:
         """Choose a target that is not excluded; the lock is held."""
         service = send.stage.service
         return self._tables[service].choose(
@@ -183,33 +190,33 @@
             randomness=self._randomness,
         )
 
-    def _assign(self, send: Send, name: str) -> Choice | None:
+    def _assign(self, send: Send, name: str) -> TargetChoice | None:
         """Assign an attempt to the target that a permit names; the lock is held."""
         service = send.stage.service
-        return self._tables[service].take(name.removeprefix(f"{service}/"))
+        return self._tables[service].assign(name.removeprefix(f"{service}/"))
 
     def _list_available(self, service: str) -> set[str]:
         """Return the targets that may get requests, rate limits apart."""
-        return set(self._tables[service].standings()) - self._list_unavailable(service)
+        return set(self._tables[service].locations()) - self._list_unavailable(service)
 
     def _list_rate_limited(self, service: str) -> dict[str, TargetIncarnation]:
         """Return the targets that may get requests and have a rate limit."""
         unavailable = self._list_unavailable(service)
         locations = {
             name: location
-            for name, location in self._tables[service].standings().items()
+            for name, location in self._tables[service].locations().items()
             if name not in unavailable
         }
         return self._limits.list_rate_limited(service, locations)
 
     def _list_unavailable(self, service: str) -> frozenset[str]:
         """Return the targets that get nothing now, since they are draining or back off."""
-        locations = self._tables[service].standings()
+        locations = self._tables[service].locations()
         return self._draining.find(service) | self._backoff.list_backing_off(service, locations)
 
     def _find_wait_seconds(self, service: str) -> float:
         """Return the seconds until a target of a service becomes available; 0 if one is now."""
-        locations = self._tables[service].standings()
+        locations = self._tables[service].locations()
         draining = self._draining.find(service)
         serving = {name: location for name, location in locations.items() if name not in draining}
         backoff_seconds = self._backoff.find_backoff_seconds(service, serving)
@@ -218,7 +225,9 @@
             return backoff_seconds
         return max(backoff_seconds, self._limits.find_wait_seconds(rate_limited.values()))
 
-    def _record_notice(self, service: str, choice: Choice, notice: TargetAnnouncement) -> None:
+    def _record_notice(
+        self, service: str, choice: TargetChoice, notice: TargetAnnouncement
+    ) -> None:
         """Record what the head of a response announces of its target."""
         if notice.is_draining:
             self._draining.record(service, choice.target)
@@ -241,14 +250,21 @@
         self._version = settings.version
         for name, service in settings.tree.services.items():
             locations = {
-                target: Standing(address=definition.address, data_centre=definition.data_centre)
+                target: TargetLocation(
+                    address=definition.address, data_centre=definition.data_centre
+                )
                 for target, definition in service.targets.items()
             }
-            self._tables.setdefault(name, TargetBook()).update(locations)
+            self._tables.setdefault(name, TargetTable()).update(locations)
             self._meters.setdefault(name, ServiceMeter())
 
     def _finish(
-        self, send: Send, choice: Choice, pipeline: str, reply: TargetReply | None, began_at: float
+        self,
+        send: Send,
+        choice: TargetChoice,
+        pipeline: str,
+        reply: TargetReply | None,
+        began_at: float,
     ) -> None:
         """Record the end of an attempt; it was abandoned if there is no reply."""
         now = read_clock()
@@ -283,7 +299,7 @@
     retry_after: float = 0.0
 
 
-def _make_lost_target(send: Send, choice: Choice) -> LostTarget:
+def _make_lost_target(send: Send, choice: TargetChoice) -> LostTarget:
     """Return the target whose connection broke under an attempt."""
     return LostTarget(
         target=f"{send.stage.service}/{choice.target}",
@@ -293,7 +309,7 @@
     )
 
 
-def _evaluate_health(reply: TargetReply | None) -> Health:
+def _evaluate_health(reply: TargetReply | None) -> HealthSignal:
     if reply is None:
         return "neutral"
     return "good" if reply.result.outcome == "answered" else "bad"
--- a/packages/damsonlaned/src/damsonlaned/entry/_rate_limited_targets.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_rate_limited_targets.py
@@ -14,7 +14,7 @@
     RateLimitTable,
     list_changes,
 )
-from damsonlane.routing import Standing
+from damsonlane.routing import TargetLocation
 from damsonlane_rpc import PermitBatchRequest
 from damsonlaned.clock import read_clock
 
@@ -88,7 +88,7 @@
             self._record(report)
 
     def list_rate_limited(
-        self, service: str, locations: Mapping[str, Standing]
+        self, service: str, locations: Mapping[str, TargetLocation]
     ) -> dict[str, TargetIncarnation]:
         """Return those of some targets of a service that have a rate limit, by name."""
         with self._lock:
--- a/packages/damsonlaned/src/damsonlaned/entry/_target_backoff.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_target_backoff.py
@@ -7,7 +7,7 @@
 from typing import Final
 
 from damsonlane.backoff import BackoffTable, TargetIncarnation, draw_jitter_seconds
-from damsonlane.routing import Standing
+from damsonlane.routing import TargetLocation
 from damsonlaned.clock import read_clock
 
 _LOG: Final = logging.getLogger(__name__)
@@ -46,7 +46,9 @@
                 _make_incarnation(service, target, address), read_clock()
             )
 
-    def list_backing_off(self, service: str, locations: Mapping[str, Standing]) -> frozenset[str]:
+    def list_backing_off(
+        self, service: str, locations: Mapping[str, TargetLocation]
+    ) -> frozenset[str]:
         """Return those of some targets of a service that back off now."""
         return frozenset(
             name
@@ -54,7 +56,7 @@
             if self.seconds_left(service, name, location.address) > 0
         )
 
-    def find_backoff_seconds(self, service: str, locations: Mapping[str, Standing]) -> float:
+    def find_backoff_seconds(self, service: str, locations: Mapping[str, TargetLocation]) -> float:
         """Return the seconds until one of some targets no longer backs off; 0 if one does not."""
         seconds = (
             self.seconds_left(service, name, location.address)
--- a/packages/damsonlaned/src/damsonlaned/gateway/_attempts.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_attempts.py
@@ -8,7 +8,7 @@
 
 from damsonlane.placement import InputLocation, PlacementRequest, PromptSegment
 from damsonlane.requests import WindowedRetryBudget
-from damsonlane.routing import Health
+from damsonlane.routing import HealthSignal
 from damsonlaned.dialects import AnswerSigns, Attempt, Dialect
 from damsonlaned.gateway._call import Call
 from damsonlaned.gateway._limited_places import LimitedPlaces, NoPlace
@@ -178,7 +178,7 @@
             raise
         return OpenedExchange(chosen=chosen, exchange=exchange, head=head, signs=signs)
 
-    def finish(self, opened: OpenedExchange, health: Health) -> None:
+    def finish(self, opened: OpenedExchange, health: HealthSignal) -> None:
         """End an attempt: return its connection and record the health of the target."""
         opened.exchange.finish()
         if opened.head.status == 421:
@@ -189,7 +189,7 @@
             health = "neutral"
         self._targets.finish(opened.chosen, health, load=opened.signs.load)
 
-    def finish_unopened(self, chosen: Chosen, health: Health) -> None:
+    def finish_unopened(self, chosen: Chosen, health: HealthSignal) -> None:
         """End an attempt without a response."""
         if chosen.placed is not None and health == "bad":
             chosen.placed.note_read(None)
--- a/packages/damsonlaned/src/damsonlaned/gateway/_placer.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_placer.py
@@ -7,7 +7,7 @@
 from damsonlane.backoff import TargetIncarnation
 from damsonlane.placement import EngineTable, Placement, PlacementRequest, PromptOutcome
 from damsonlane.routes import EngineTraits
-from damsonlane.routing import Place, PromptSides
+from damsonlane.routing import EngineLocation, PromptPartition
 from damsonlane.warmup import WarmupLimiter
 from damsonlaned.gateway._view import FleetView
 
@@ -28,9 +28,9 @@
             properties.token_bytes / properties.link_speed if properties.link_speed else None
         )
         self._book: Final = EngineTable(properties.cache_tokens, seconds_per_token)
-        self._sides: Final = PromptSides()
+        self._sides: Final = PromptPartition()
         self._warm_up_gate: Final = WarmupLimiter()
-        self._places: tuple[Place, ...] = ()
+        self._places: tuple[EngineLocation, ...] = ()
         view.on_change(self._update_engines)
         self._update_engines()
 
@@ -45,8 +45,8 @@
             self._book.record_outcome(sender, read, now)
 
     def _place_one(self, sender: str, order: PlacementRequest) -> Placement:
-        self._sides.note(order.tokens)
-        side = self._sides.find_side(order.tokens, self._places)
+        self._sides.record(order.tokens)
+        side = self._sides.find_engines(order.tokens, self._places)
         now = asyncio.get_running_loop().time()
         warming_up = self._view.list_cold(self._service)
         limited = self._view.list_limited(self._service)
@@ -81,7 +81,7 @@
         """Replace the known engines by those that are live."""
         records = self._view.open_targets_of(self._service)
         self._places = tuple(
-            Place(target=record.target, data_centre=record.data_centre, start=record.start)
+            EngineLocation(target=record.target, data_centre=record.data_centre, start=record.start)
             for record in records
             if record.standing == "live"
         )
--- a/packages/damsonlaned/src/damsonlaned/gateway/_request_handler.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_request_handler.py
@@ -7,7 +7,7 @@
 from typing import Final
 
 from damsonlane.quarantine import InterruptedRequest
-from damsonlane.routing import Health
+from damsonlane.routing import HealthSignal
 from damsonlaned.dialects import Dialect
 from damsonlaned.gateway._attempt_history import AttemptHistory
 from damsonlaned.gateway._attempts import Attempts, OpenedExchange
@@ -232,7 +232,7 @@
     # Whole responses.
 
     async def _forward_whole(self, opened: OpenedExchange) -> FailedAttempt | None:
-        health: Health = "neutral"
+        health: HealthSignal = "neutral"
         try:
             body = await opened.exchange.body.read_all()
             health = "good" if opened.head.status < 500 else "bad"
@@ -274,7 +274,7 @@
     async def _forward_stream(self, opened: OpenedExchange) -> FailedAttempt | None:
         """Forward each complete event as it arrives; return None once the stream is complete."""
         splitter = EventSplitter()
-        health: Health = "neutral"
+        health: HealthSignal = "neutral"
         try:
             async for data in self._read_parts(opened):
                 for event in splitter.feed(data):
--- a/packages/damsonlaned/src/damsonlaned/gateway/_targets.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_targets.py
@@ -9,14 +9,14 @@
 from damsonlane.backoff import TargetIncarnation
 from damsonlane.routes import Service
 from damsonlane.routing import (
-    Choice,
-    Health,
+    EngineLocation,
+    HealthSignal,
     LoadReport,
     Origin,
-    Place,
-    PromptSides,
-    Standing,
-    TargetBook,
+    PromptPartition,
+    TargetChoice,
+    TargetLocation,
+    TargetTable,
 )
 from damsonlane.targets import TargetRecord
 from damsonlane.warmup import WarmupLimiter, find_entry_share
@@ -95,8 +95,8 @@
         self._view: Final = view
         self._data_centre: Final = data_centre
         self._entries: Final = entries
-        self._tables: dict[str, TargetBook] = {}
-        self._sides: dict[str, PromptSides] = {}
+        self._tables: dict[str, TargetTable] = {}
+        self._sides: dict[str, PromptPartition] = {}
         self._connections: dict[str, ConnectionPool] = {}
         self._misdirected: set[str] = set()
         self._randomness: Final = random.Random()
@@ -165,7 +165,7 @@
 
     def take_placed(self, service: Service, placed: PlacedPrompt) -> Chosen | None:
         """Return the engine at which a prompt was placed; None if this entry does not list it."""
-        choice = self._table(service.name).take(placed.target)
+        choice = self._table(service.name).assign(placed.target)
         if choice is None:
             return None
         chosen = self._make_chosen(service, choice)
@@ -175,7 +175,7 @@
 
     def take_permitted(self, service: Service, target: str) -> Chosen | None:
         """Return the target that a permit names; None if this entry does not list it."""
-        choice = self._table(service.name).take(target)
+        choice = self._table(service.name).assign(target)
         return self._make_chosen(service, choice) if choice is not None else None
 
     def give_back(self, chosen: Chosen) -> None:
@@ -217,7 +217,7 @@
     def record_prompt(self, service: Service, prompt: Prompt) -> None:
         """Record the prompt of a new request, by which engines are partitioned."""
         if service.engine is not None:
-            self._sides.setdefault(service.name, PromptSides()).note(prompt.tokens)
+            self._sides.setdefault(service.name, PromptPartition()).record(prompt.tokens)
 
     def _find_side(
         self, service: Service, prompt: Prompt, records: Sequence[TargetRecord]
@@ -226,17 +226,17 @@
         if service.engine is None:
             return frozenset()
         engines = tuple(
-            Place(target=record.target, data_centre=record.data_centre)
+            EngineLocation(target=record.target, data_centre=record.data_centre)
             for record in records
             if record.standing == "live" and self._view.is_open(record)
         )
-        sides = self._sides.setdefault(service.name, PromptSides())
-        return sides.find_side(prompt.tokens, engines)
+        sides = self._sides.setdefault(service.name, PromptPartition())
+        return sides.find_engines(prompt.tokens, engines)
 
     def finish(
         self,
         chosen: Chosen,
-        health: Health,
+        health: HealthSignal,
         *,
         load: LoadReport | None = None,
         pace: float | None = None,
@@ -272,7 +272,7 @@
         connections.max_connections = most
         return connections
 
-    def _make_chosen(self, service: Service, choice: Choice) -> Chosen:
+    def _make_chosen(self, service: Service, choice: TargetChoice) -> Chosen:
         return Chosen(
             service=service.name,
             target=choice.target,
@@ -281,9 +281,9 @@
             connections=self.connections(service, choice.target, choice.address),
         )
 
-    def _table(self, service: str) -> TargetBook:
+    def _table(self, service: str) -> TargetTable:
         if service not in self._tables:
-            self._tables[service] = TargetBook()
+            self._tables[service] = TargetTable()
             self._update_table(service)
         return self._tables[service]
 
@@ -311,7 +311,7 @@
     def _update_table(self, service: str) -> None:
         self._tables[service].update(
             {
-                record.target: Standing(
+                record.target: TargetLocation(
                     address=record.address, data_centre=record.data_centre, start=record.start
                 )
                 for record in self._view.targets_of(service)
