--- a/packages/damsonlane/src/damsonlane/routes/__init__.py
+++ b/packages/damsonlane/src/damsonlane/routes/__init__.py
@@ -3,10 +3,10 @@
 from damsonlane.routes._checks import check_document
 from damsonlane.routes._document import (
     CallerLimits,
-    EngineTraits,
+    EngineProperties,
     Organisation,
-    PoolTraits,
-    Repeat,
+    PoolProperties,
+    RetryMode,
     Route,
     RoutingDocument,
     Service,
@@ -17,10 +17,10 @@
 
 __all__ = [
     "CallerLimits",
-    "EngineTraits",
+    "EngineProperties",
     "Organisation",
-    "PoolTraits",
-    "Repeat",
+    "PoolProperties",
+    "RetryMode",
     "Route",
     "RouteTable",
     "RoutingDocument",
--- a/packages/damsonlane/src/damsonlane/routes/_document.py
+++ b/packages/damsonlane/src/damsonlane/routes/_document.py
@@ -5,7 +5,7 @@
 
 #: Whether a request of a route may be retried: always (``safe``), not once it may have run
 #: (``once``), or for event streams only if the route is resumable (``stream``).
-Repeat = Literal["safe", "once", "stream"]
+RetryMode = Literal["safe", "once", "stream"]
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -41,7 +41,7 @@
     #: Prefix of the path; starts and ends with a slash.
     prefix: str
     #: Whether requests may be retried.
-    repeat: Repeat
+    repeat: RetryMode
     #: Time-out of a request, in seconds.
     timeout_seconds: float
     #: Latency objective of an answer, in seconds.
@@ -61,13 +61,13 @@
     #: Objective for the pause between two events, in seconds; 0 for none.
     pause_seconds: float = 0.0
 
-    def is_repeatable(self) -> bool:
+    def is_retryable(self) -> bool:
         """Return whether a request that may have run may be retried."""
         return self.repeat == "safe" or (self.repeat == "stream" and self.is_resumable)
 
 
 @dataclass(frozen=True, kw_only=True)
-class EngineTraits:
+class EngineProperties:
     """Properties of the model engines of a service."""
 
     #: Requests that one engine runs concurrently.
@@ -82,7 +82,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class PoolTraits:
+class PoolProperties:
     """Properties of the targets of a stage pool."""
 
     #: Calls that one target runs concurrently.
@@ -116,9 +116,9 @@
     #: reports it.
     cold_start_seconds: float = 0.0
     #: Set for model engines.
-    engine: EngineTraits | None = None
+    engine: EngineProperties | None = None
     #: Set for stage pools.
-    pool: PoolTraits | None = None
+    pool: PoolProperties | None = None
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/packages/damsonlaned/src/damsonlaned/gateway/_attempt_history.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_attempt_history.py
@@ -60,7 +60,7 @@
     def response_timeout_seconds(self) -> float:
         """Return the time-out for the head of a response, in seconds."""
         remaining = self._call.remaining()
-        if self._call.route.is_repeatable() and not self._is_last_allowed_run():
+        if self._call.route.is_retryable() and not self._is_last_allowed_run():
             return max(MIN_ATTEMPT_SECONDS, ATTEMPT_SHARE * remaining)
         return remaining + _BEYOND_DEADLINE_SECONDS
 
@@ -89,7 +89,7 @@
             return False
         if has_begun and not route.is_resumable:
             return False
-        if self.may_have_run and not route.is_repeatable():
+        if self.may_have_run and not route.is_retryable():
             return False
         if self._possible_runs >= max(1, route.most_targets):
             return False
--- a/packages/damsonlaned/src/damsonlaned/gateway/_placer.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_placer.py
@@ -6,7 +6,7 @@
 
 from damsonlane.backoff import TargetIncarnation
 from damsonlane.placement import EngineTable, Placement, PlacementRequest, PromptOutcome
-from damsonlane.routes import EngineTraits
+from damsonlane.routes import EngineProperties
 from damsonlane.routing import EngineLocation, PromptPartition
 from damsonlane.warmup import WarmupLimiter
 from damsonlaned.gateway._view import FleetView
@@ -21,7 +21,7 @@
         view: lists the engines.
     """
 
-    def __init__(self, service: str, properties: EngineTraits, view: FleetView) -> None:
+    def __init__(self, service: str, properties: EngineProperties, view: FleetView) -> None:
         self._service: Final = service
         self._view: Final = view
         seconds_per_token = (
--- a/packages/damsonlaned/src/damsonlaned/gateway/_pool_calls.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_pool_calls.py
@@ -6,7 +6,7 @@
 from typing import Final, Self
 
 from damsonlane.pools import WaitingPiece
-from damsonlane.routes import PoolTraits
+from damsonlane.routes import PoolProperties
 from damsonlaned.dialects import Dialect, MadePiece
 from damsonlaned.gateway._pool_targets import PoolTarget
 from damsonlaned.gateway._target_notices import TargetNotices
@@ -49,7 +49,7 @@
         cls,
         target: PoolTarget,
         batch: tuple[WaitingPiece, ...],
-        properties: PoolTraits,
+        properties: PoolProperties,
         now: float,
         *,
         is_saturated: bool = False,
--- a/packages/damsonlaned/src/damsonlaned/gateway/_pool_owner.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_pool_owner.py
@@ -9,7 +9,7 @@
 
 from damsonlane.pools import PieceOrder, PieceQueue, WaitingPiece
 from damsonlane.quarantine import InterruptedRequest
-from damsonlane.routes import PoolTraits, Service
+from damsonlane.routes import PoolProperties, Service
 from damsonlane.warmup import WarmupLimiter
 from damsonlaned.dialects import BadRequestError, Dialect, MadePiece
 from damsonlaned.gateway._ended_targets import EndedTargets
@@ -175,7 +175,9 @@
         bound = self._view.find_cold_bound(self._service)
         return bound is None or self._warm_up_gate.admits(target.name, bound.owner_limit(), now)
 
-    def _select(self, target: PoolTarget, properties: PoolTraits, now: float) -> BatchCall | None:
+    def _select(
+        self, target: PoolTarget, properties: PoolProperties, now: float
+    ) -> BatchCall | None:
         """Dequeue a batch for a target and return its call; None if no piece fits."""
         selection = self._queue.select(now, self._pool_targets.make_offer(target, properties, now))
         self._refuse(selection.late)
@@ -278,7 +280,9 @@
             self._requeue(call.batch, has_run=False)
         return {}
 
-    def _record_throughput(self, call: BatchCall, properties: PoolTraits, seconds: float) -> None:
+    def _record_throughput(
+        self, call: BatchCall, properties: PoolProperties, seconds: float
+    ) -> None:
         """Record the throughput of a call that could have been full."""
         full_seconds = properties.call_seconds + properties.batch * properties.piece_seconds
         self._pool_targets.throughput.record_call(
--- a/packages/damsonlaned/src/damsonlaned/gateway/_pool_targets.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_pool_targets.py
@@ -5,7 +5,7 @@
 
 from damsonlane.backoff import TargetIncarnation
 from damsonlane.pools import CallCapacity, ResultMemory, ThroughputEstimate
-from damsonlane.routes import PoolTraits
+from damsonlane.routes import PoolProperties
 from damsonlane.targets import TargetRecord
 from damsonlaned.gateway._rate_limits import ServiceLimits
 
@@ -37,7 +37,7 @@
     def __init__(
         self,
         record: TargetRecord,
-        properties: PoolTraits,
+        properties: PoolProperties,
         find_backoff: Callable[[TargetIncarnation], float] = lambda _: 0.0,
         limits: ServiceLimits | None = None,
     ) -> None:
@@ -146,7 +146,7 @@
         #: Throughput of the pool while more pieces wait than fit into a call.
         self.throughput: Final = ThroughputEstimate()
 
-    def update(self, records: Sequence[TargetRecord], properties: PoolTraits) -> None:
+    def update(self, records: Sequence[TargetRecord], properties: PoolProperties) -> None:
         """Apply the registered targets; those that remain keep their state."""
         present = {record.target: record for record in records if record.standing != "leaving"}
         for removed in set(self._targets) - set(present):
@@ -193,7 +193,7 @@
         return min([*(ejection for ejection in ejections if ejection > 0), REJECTION_PAUSE_SECONDS])
 
     def make_offer(
-        self, target: PoolTarget | None, properties: PoolTraits, now: float
+        self, target: PoolTarget | None, properties: PoolProperties, now: float
     ) -> CallCapacity:
         """Return the capacity that a target and the rest of the pool offer to the queue.
 
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/harness.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/harness.py
@@ -11,7 +11,7 @@
 from damsonlane.quarantine import InterruptedRequest, QuarantineList, ReleaseRequest
 from damsonlane.routes import (
     Organisation,
-    PoolTraits,
+    PoolProperties,
     Route,
     RoutingDocument,
     Service,
@@ -81,7 +81,7 @@
         Service(
             name="pool",
             most_connections=20,
-            pool=PoolTraits(
+            pool=PoolProperties(
                 slots=1,
                 queue=2,
                 batch=4,
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_backoff.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_backoff.py
@@ -11,7 +11,14 @@
 from collections.abc import Sequence
 from dataclasses import replace
 
-from damsonlane.routes import EngineTraits, Route, RoutingDocument, Service, Stage, WeightedService
+from damsonlane.routes import (
+    EngineProperties,
+    Route,
+    RoutingDocument,
+    Service,
+    Stage,
+    WeightedService,
+)
 from damsonlane.targets import TargetRecord
 from damsonlaned.gateway.tests.harness import (
     DOCUMENT,
@@ -50,7 +57,7 @@
 
 
 ENGINE_SERVICE = Service(
-    name="model", most_connections=20, engine=EngineTraits(slots=4, cache_tokens=100_000)
+    name="model", most_connections=20, engine=EngineProperties(slots=4, cache_tokens=100_000)
 )
 ROUTES = (
     make_route("plain", "desk"),
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_closed_targets.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_closed_targets.py
@@ -6,7 +6,7 @@
 from damsonlane.evacuation import EvacuationList
 from damsonlane.membership import BoxRecord
 from damsonlane.placement import PlacementRequest, PromptSegment
-from damsonlane.routes import EngineTraits, RoutingDocument, Service
+from damsonlane.routes import EngineProperties, RoutingDocument, Service
 from damsonlane.targets import TargetChanges, TargetRecord
 from damsonlaned.dialects import NativeDialect
 from damsonlaned.gateway._placement_client import PlacedPrompt
@@ -23,7 +23,7 @@
 )
 
 OWN_ADDRESS = "10.9.0.1:7000"
-TRAITS = EngineTraits(slots=8, cache_tokens=100_000)
+TRAITS = EngineProperties(slots=8, cache_tokens=100_000)
 ENGINE = Service(
     name="model",
     most_connections=500,
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_placement.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_placement.py
@@ -7,7 +7,7 @@
 from grpclib.server import Stream
 
 from damsonlane.placement import Placement, PlacementRequest, PromptSegment
-from damsonlane.routes import EngineTraits
+from damsonlane.routes import EngineProperties
 from damsonlane.routes import Service as RouteService
 from damsonlane.targets import TargetRecord
 from damsonlane_rpc import POOL, PoolOrders, PoolResults, RpcService
@@ -20,7 +20,7 @@
 from damsonlaned.tests.addresses import find_free_address
 
 ENGINES = RouteService(
-    name="engines", most_connections=20, engine=EngineTraits(slots=4, cache_tokens=100_000)
+    name="engines", most_connections=20, engine=EngineProperties(slots=4, cache_tokens=100_000)
 )
 WITH_ENGINES = replace(DOCUMENT, services=(*DOCUMENT.services, ENGINES))
 ORDER = PlacementRequest(
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_pool_targets.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_pool_targets.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from damsonlane.pools._result_memory import UNKNOWN_SECONDS
-from damsonlane.routes import PoolTraits
+from damsonlane.routes import PoolProperties
 from damsonlane.targets import TargetRecord
 from damsonlaned.gateway._pool_targets import PoolTarget
 
@@ -17,7 +17,7 @@
     standing="live",
     sequence=1,
 )
-_TRAITS = PoolTraits(
+_TRAITS = PoolProperties(
     slots=1,
     queue=2,
     batch=4,
