--- a/packages/damsonlane/src/damsonlane/cluster/_state.py
+++ b/packages/damsonlane/src/damsonlane/cluster/_state.py
@@ -20,7 +20,7 @@
 )
 from damsonlane.cluster._settings_store import SettingsSnapshot, SettingsStore
 from damsonlane.codec import decode_bytes, decode_value, encode_text
-from damsonlane.costs import CostBook, CostsRecorded, CostTotal, RecordCosts, SenderProgress
+from damsonlane.costs import CostAccounts, CostsRecorded, CostTotal, RecordCosts, SenderProgress
 from damsonlane.evacuation import (
     EvacuateDataCentre,
     EvacuationRecorded,
@@ -149,7 +149,7 @@
         start = snapshot or ClusterSnapshot()
         self.settings = SettingsStore(start.settings)
         self.ledger = Ledger(start.jobs, start.clock)
-        self.costs = CostBook(start.totals, start.senders, start.endings)
+        self.costs = CostAccounts(start.totals, start.senders, start.endings)
         self.membership = Membership(start.boxes)
         self.documents = DocumentStore(start.document)
         self.targets = TargetRegistry(start.targets)
--- a/packages/damsonlane/src/damsonlane/costs/__init__.py
+++ b/packages/damsonlane/src/damsonlane/costs/__init__.py
@@ -1,6 +1,6 @@
 """Costs by stage: lines reported by entries, totals in the replicated state."""
 
-from damsonlane.costs._accounts import CostBook
+from damsonlane.costs._accounts import CostAccounts
 from damsonlane.costs._lines import (
     AttemptOutcome,
     CostLine,
@@ -12,7 +12,7 @@
 
 __all__ = [
     "AttemptOutcome",
-    "CostBook",
+    "CostAccounts",
     "CostLine",
     "CostTotal",
     "CostsRecorded",
--- a/packages/damsonlane/src/damsonlane/costs/_accounts.py
+++ b/packages/damsonlane/src/damsonlane/costs/_accounts.py
@@ -22,7 +22,7 @@
     outcome: AttemptOutcome
 
 
-class CostBook:
+class CostAccounts:
     """Totals of costs by organisation, pipeline, stage and outcome."""
 
     def __init__(
--- a/packages/damsonlane/src/damsonlane/requests/tests/session.py
+++ b/packages/damsonlane/src/damsonlane/requests/tests/session.py
@@ -14,7 +14,7 @@
     ServiceMeter,
     WorkClass,
 )
-from damsonlane.costs import CostBook, RecordCosts
+from damsonlane.costs import CostAccounts, RecordCosts
 from damsonlane.ledger import JobCommand, JobKey, JobReply, Ledger, read_holder
 from damsonlane.requests import (
     AttemptResult,
@@ -105,7 +105,7 @@
         self._pipelines = pipelines
         self._entries = {name: FakeEntry(services) for name in ("entry-1", "entry-2")}
         self._ledger = Ledger()
-        self._costs = CostBook()
+        self._costs = CostAccounts()
         self._batches = itertools.count(1)
         self._events: list[tuple[float, int, Callable[[float], None]]] = []
         self._order = itertools.count()
