--- a/packages/damsonlane/src/damsonlane/burn/_buckets.py
+++ b/packages/damsonlane/src/damsonlane/burn/_buckets.py
@@ -7,13 +7,13 @@
 from damsonlane.burn._counts import (
     COARSE_BUCKET_SECONDS,
     COARSE_RETENTION_SECONDS,
+    FINE_BUCKET_SECONDS,
     FINE_RETENTION_SECONDS,
-    FINE_SECONDS,
-    EndingCount,
+    CompletionCount,
 )
 
 _RETENTION_SECONDS: Final = {
-    FINE_SECONDS: FINE_RETENTION_SECONDS,
+    FINE_BUCKET_SECONDS: FINE_RETENTION_SECONDS,
     COARSE_BUCKET_SECONDS: COARSE_RETENTION_SECONDS,
 }
 
@@ -29,11 +29,11 @@
 class BurnBuckets:
     """Completed requests by pipeline, in fine buckets for hours and coarse ones for a month."""
 
-    def __init__(self, counts: Iterable[EndingCount] = ()) -> None:
+    def __init__(self, counts: Iterable[CompletionCount] = ()) -> None:
         self._counts = {_bucket(count): count for count in counts}
         self._newest = max((count.start for count in self._counts.values()), default=0)
 
-    def counts(self) -> tuple[EndingCount, ...]:
+    def counts(self) -> tuple[CompletionCount, ...]:
         """Return all counts, sorted by pipeline and time."""
         return tuple(
             sorted(
@@ -42,13 +42,13 @@
             )
         )
 
-    def record(self, counts: Iterable[EndingCount]) -> None:
+    def record(self, counts: Iterable[CompletionCount]) -> None:
         """Add fine counts, also to their coarse buckets."""
         for count in counts:
             for counted in (count, count.in_bucket_of(COARSE_BUCKET_SECONDS)):
                 bucket = _bucket(counted)
                 known = self._counts.get(bucket)
-                self._counts[bucket] = known.with_more(counted) if known else counted
+                self._counts[bucket] = known.combined_with(counted) if known else counted
             if count.start > self._newest:
                 self._newest = count.start
                 self._drop_expired()
@@ -64,7 +64,7 @@
             del self._counts[bucket]
 
 
-def _bucket(count: EndingCount) -> _Bucket:
+def _bucket(count: CompletionCount) -> _Bucket:
     return _Bucket(
         organisation=count.organisation,
         pipeline=count.pipeline,
--- a/packages/damsonlane/src/damsonlane/burn/_counts.py
+++ b/packages/damsonlane/src/damsonlane/burn/_counts.py
@@ -4,7 +4,7 @@
 from typing import Final
 
 #: Length of a fine bucket, in seconds.
-FINE_SECONDS: Final = 60
+FINE_BUCKET_SECONDS: Final = 60
 #: Length of a coarse bucket, in seconds.
 COARSE_BUCKET_SECONDS: Final = 3600
 #: Age at which fine buckets are deleted, in seconds.
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class EndingCount:
+class CompletionCount:
     """The requests of a pipeline that completed within one time bucket."""
 
     #: Organisation.
@@ -30,9 +30,9 @@
     #: All requests, including failed ones.
     total: int
 
-    def with_more(self, other: "EndingCount") -> "EndingCount":
+    def combined_with(self, other: "CompletionCount") -> "CompletionCount":
         """Return the sum of this count and another one of the same bucket."""
-        return EndingCount(
+        return CompletionCount(
             organisation=self.organisation,
             pipeline=self.pipeline,
             start=self.start,
@@ -41,13 +41,13 @@
             total=self.total + other.total,
         )
 
-    def in_bucket_of(self, length: int) -> "EndingCount":
+    def in_bucket_of(self, length: int) -> "CompletionCount":
         """Return the count assigned to the longer bucket that contains this one.
 
         Args:
             length: length of the longer bucket, in seconds.
         """
-        return EndingCount(
+        return CompletionCount(
             organisation=self.organisation,
             pipeline=self.pipeline,
             start=self.start - self.start % length,
--- a/packages/damsonlane/src/damsonlane/burn/_report.py
+++ b/packages/damsonlane/src/damsonlane/burn/_report.py
@@ -6,9 +6,9 @@
 
 from damsonlane.burn._counts import (
     COARSE_BUCKET_SECONDS,
+    FINE_BUCKET_SECONDS,
     FINE_RETENTION_SECONDS,
-    FINE_SECONDS,
-    EndingCount,
+    CompletionCount,
 )
 
 
@@ -62,7 +62,7 @@
 
 
 def measure_burn(
-    counts: Sequence[EndingCount], window: Window, objective: float
+    counts: Sequence[CompletionCount], window: Window, objective: float
 ) -> tuple[Burn, ...]:
     """Return the burn rate of each pipeline that had requests in a window.
 
@@ -72,7 +72,7 @@
         objective: share of requests that must be answered completely and in time.
     """
     is_short = window.end - window.start <= FINE_RETENTION_SECONDS
-    length = FINE_SECONDS if is_short else COARSE_BUCKET_SECONDS
+    length = FINE_BUCKET_SECONDS if is_short else COARSE_BUCKET_SECONDS
     chosen = [
         count
         for count in counts
@@ -88,7 +88,7 @@
 def _measure(
     organisation: str,
     pipeline: str,
-    counts: Sequence[EndingCount],
+    counts: Sequence[CompletionCount],
     window: Window,
     objective: float,
 ) -> Burn:
--- a/packages/damsonlane/src/damsonlane/burn/tests/test_burn.py
+++ b/packages/damsonlane/src/damsonlane/burn/tests/test_burn.py
@@ -2,11 +2,11 @@
 
 import unittest
 
-from damsonlane.burn import Burn, BurnBuckets, EndingCount, Window, measure_burn
+from damsonlane.burn import Burn, BurnBuckets, CompletionCount, Window, measure_burn
 
 
-def _count(start: int, attained: int, total: int, length: int = 60) -> EndingCount:
-    return EndingCount(
+def _count(start: int, attained: int, total: int, length: int = 60) -> CompletionCount:
+    return CompletionCount(
         organisation="o", pipeline="p", start=start, length=length, attained=attained, total=total
     )
 
--- a/packages/damsonlane/src/damsonlane/cluster/_state.py
+++ b/packages/damsonlane/src/damsonlane/cluster/_state.py
@@ -5,7 +5,7 @@
 
 from pydantic import Field
 
-from damsonlane.burn import EndingCount
+from damsonlane.burn import CompletionCount
 from damsonlane.cluster._changes import (
     ChangeAccepted,
     ChangeConflict,
@@ -118,7 +118,7 @@
     #: Boxes that currently report to control.
     boxes: tuple[BoxRecord, ...] = ()
     #: Counts of request outcomes.
-    endings: tuple[EndingCount, ...] = ()
+    endings: tuple[CompletionCount, ...] = ()
     #: The routing document.
     document: PackedDocument = PackedDocument()
     #: Targets that register themselves.
--- a/packages/damsonlane/src/damsonlane/costs/_accounts.py
+++ b/packages/damsonlane/src/damsonlane/costs/_accounts.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from damsonlane.burn import BurnBuckets, EndingCount
+from damsonlane.burn import BurnBuckets, CompletionCount
 from damsonlane.costs._lines import (
     AttemptOutcome,
     CostLine,
@@ -29,7 +29,7 @@
         self,
         totals: Iterable[CostTotal] = (),
         senders: Iterable[SenderProgress] = (),
-        endings: Iterable[EndingCount] = (),
+        endings: Iterable[CompletionCount] = (),
     ) -> None:
         self.burn = BurnBuckets(endings)
         self._totals = {_account(total): total for total in totals}
--- a/packages/damsonlane/src/damsonlane/costs/_lines.py
+++ b/packages/damsonlane/src/damsonlane/costs/_lines.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from typing import Literal
 
-from damsonlane.burn import EndingCount
+from damsonlane.burn import CompletionCount
 
 #: Outcome of an attempt, as shown on bills.
 AttemptOutcome = Literal["answered", "failed", "cancelled"]
@@ -45,7 +45,7 @@
     #: The lines.
     lines: tuple[CostLine, ...]
     #: Completed requests since the previous batch, in fine buckets.
-    endings: tuple[EndingCount, ...] = ()
+    endings: tuple[CompletionCount, ...] = ()
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/packages/damsonlane_cli/src/damsonlane_cli/_reports.py
+++ b/packages/damsonlane_cli/src/damsonlane_cli/_reports.py
@@ -10,9 +10,9 @@
 import pygal
 
 from damsonlane.burn import (
-    FINE_SECONDS,
+    FINE_BUCKET_SECONDS,
     Burn,
-    EndingCount,
+    CompletionCount,
     Window,
     list_windows,
     measure_burn,
@@ -98,7 +98,7 @@
             Path(plot).write_bytes(draw_attainment(view.endings, time.time()))
 
 
-def _measure_burns(endings: Sequence[EndingCount], tree: Tree) -> list[Burn]:
+def _measure_burns(endings: Sequence[CompletionCount], tree: Tree) -> list[Burn]:
     burns: list[Burn] = []
     for organisation, settings in tree.organisations.items():
         for pipeline in settings.pipelines:
@@ -130,15 +130,17 @@
     }
 
 
-def draw_attainment(endings: Sequence[EndingCount], now: float) -> bytes:
+def draw_attainment(endings: Sequence[CompletionCount], now: float) -> bytes:
     """Return a plot of attainment by minute as SVG, with one line for each pipeline.
 
     Args:
         endings: counts of completed requests.
         now: end of the plot, in seconds since 1970.
     """
-    newest_start = int(now) - int(now) % FINE_SECONDS
-    starts = [newest_start - FINE_SECONDS * back for back in range(_PLOTTED_BUCKETS - 1, -1, -1)]
+    newest_start = int(now) - int(now) % FINE_BUCKET_SECONDS
+    starts = [
+        newest_start - FINE_BUCKET_SECONDS * back for back in range(_PLOTTED_BUCKETS - 1, -1, -1)
+    ]
     chart = pygal.Line(
         title="Attainment by minute (%)",
         x_label_rotation=45,
@@ -148,14 +150,14 @@
     )
     chart.x_labels = [time.strftime("%H:%M", time.gmtime(start)) for start in starts]
     chart.x_labels_major = list(chart.x_labels)[::10]
-    fine = [ending for ending in endings if ending.length == FINE_SECONDS]
+    fine = [ending for ending in endings if ending.length == FINE_BUCKET_SECONDS]
     for name in sorted({f"{ending.organisation}/{ending.pipeline}" for ending in fine}):
         counts_by_start = {e.start: e for e in fine if f"{e.organisation}/{e.pipeline}" == name}
         chart.add(name, [_attained_percent(counts_by_start.get(start)) for start in starts])
     return bytes(chart.render())
 
 
-def _attained_percent(count: EndingCount | None) -> float | None:
+def _attained_percent(count: CompletionCount | None) -> float | None:
     return 100.0 * count.attained / count.total if count else None
 
 
--- a/packages/damsonlane_rpc/src/damsonlane_rpc/_messages.py
+++ b/packages/damsonlane_rpc/src/damsonlane_rpc/_messages.py
@@ -6,7 +6,7 @@
 from pydantic import Field, JsonValue
 
 from damsonlane.agreement import Members
-from damsonlane.burn import EndingCount
+from damsonlane.burn import CompletionCount
 from damsonlane.cluster import AcceptedChange, ChangeReply, Command, PackedDocument, Reply
 from damsonlane.costs import CostTotal
 from damsonlane.evacuation import Evacuation
@@ -201,7 +201,7 @@
     #: The totals, sorted by account.
     totals: tuple[CostTotal, ...]
     #: Counts of completed requests, sorted by pipeline and time.
-    endings: tuple[EndingCount, ...] = ()
+    endings: tuple[CompletionCount, ...] = ()
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/packages/damsonlaned/src/damsonlaned/entry/_usage_reporter.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_usage_reporter.py
@@ -7,7 +7,7 @@
 from collections.abc import Sequence
 from typing import Final
 
-from damsonlane.burn import FINE_SECONDS, EndingCount
+from damsonlane.burn import FINE_BUCKET_SECONDS, CompletionCount
 from damsonlane.costs import CostLine, CostsRecorded, RecordCosts
 from damsonlane.errors import UnavailableError
 from damsonlane_rpc import ControlClient
@@ -34,7 +34,7 @@
         self._client: Final = client
         self._sender: Final = sender
         self._lines: list[CostLine] = []
-        self._completions: dict[str, EndingCount] = {}
+        self._completions: dict[str, CompletionCount] = {}
         self._lock: Final = threading.Lock()
         self._batches: Final = itertools.count(1)
         self._is_stopping = False
@@ -60,18 +60,18 @@
     def count_completion(self, organisation: str, pipeline: str, *, is_attained: bool) -> None:
         """Count a completed request."""
         now = int(time.time())
-        count = EndingCount(
+        count = CompletionCount(
             organisation=organisation,
             pipeline=pipeline,
-            start=now - now % FINE_SECONDS,
-            length=FINE_SECONDS,
+            start=now - now % FINE_BUCKET_SECONDS,
+            length=FINE_BUCKET_SECONDS,
             attained=int(is_attained),
             total=1,
         )
         name = f"{organisation}/{pipeline}/{count.start}"
         with self._lock:
             known = self._completions.get(name)
-            self._completions[name] = known.with_more(count) if known else count
+            self._completions[name] = known.combined_with(count) if known else count
 
     async def _run(self) -> None:
         while True:
