--- a/packages/damsonlane/src/damsonlane/agreement/_followers.py
+++ b/packages/damsonlane/src/damsonlane/consensus/_followers.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from damsonlane.agreement._messages import Members
+from damsonlane.consensus._messages import Members
 
 
 @dataclass
@@ -41,7 +41,7 @@
 
     def set_members(self, members: Members, own: str, next_index: int, now: float) -> None:
         """Track exactly these members; new ones start at ``next_index``."""
-        names = {member.replica for member in members.everyone()} - {own}
+        names = {member.replica for member in members.all_members()} - {own}
         for gone in set(self._progress) - names:
             del self._progress[gone]
         for name in sorted(names - set(self._progress)):
--- a/packages/damsonlane/src/damsonlane/agreement/_log.py
+++ b/packages/damsonlane/src/damsonlane/consensus/_log.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable, Sequence
 
-from damsonlane.agreement._messages import LogEntry, Members, Snapshot
+from damsonlane.consensus._messages import LogEntry, Members, Snapshot
 
 
 class Log:
--- a/packages/damsonlane/src/damsonlane/agreement/_messages.py
+++ b/packages/damsonlane/src/damsonlane/consensus/_messages.py
@@ -31,7 +31,7 @@
     #: Replicas that receive the log and do not vote yet.
     learners: tuple[Member, ...] = ()
 
-    def everyone(self) -> tuple[Member, ...]:
+    def all_members(self) -> tuple[Member, ...]:
         """Return all members: voters, then learners."""
         return self.voters + self.learners
 
--- a/packages/damsonlane/src/damsonlane/agreement/_outbox.py
+++ b/packages/damsonlane/src/damsonlane/consensus/_outbox.py
@@ -2,8 +2,8 @@
 
 from dataclasses import dataclass, field
 
-from damsonlane.agreement._messages import Envelope, Message, Snapshot
-from damsonlane.agreement._output import ReadReady
+from damsonlane.consensus._messages import Envelope, Message, Snapshot
+from damsonlane.consensus._output import ReadReady
 
 
 @dataclass
--- a/packages/damsonlane/src/damsonlane/agreement/_output.py
+++ b/packages/damsonlane/src/damsonlane/consensus/_output.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from damsonlane.agreement._messages import Envelope, HardState, LogEntry, Snapshot
+from damsonlane.consensus._messages import Envelope, HardState, LogEntry, Snapshot
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/packages/damsonlane/src/damsonlane/agreement/_reads.py
+++ b/packages/damsonlane/src/damsonlane/consensus/_reads.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from damsonlane.agreement._output import ReadReady
+from damsonlane.consensus._output import ReadReady
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/packages/damsonlane/src/damsonlane/agreement/_repair.py
+++ b/packages/damsonlane/src/damsonlane/consensus/_repair.py
@@ -4,15 +4,15 @@
 from dataclasses import dataclass
 from typing import Final
 
-from damsonlane.agreement._messages import Member, Members
-from damsonlane.agreement._replica import Replica
+from damsonlane.consensus._messages import Member, Members
+from damsonlane.consensus._replica import Replica
 
 #: Seconds without a reply after which a learner or a surplus voter is removed.
 SILENCE_SECONDS: Final = 2.0
 
 
 @dataclass(frozen=True, kw_only=True)
-class Applicant:
+class JoinCandidate:
     """A replica that asks a leader to be a member of the group."""
 
     #: Name of the replica; it gets a new one after the loss of its disk.
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Admission:
+class MemberAddition:
     """Addition of a member, as a learner."""
 
     #: The member to add.
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Removal:
+class MemberRemoval:
     """Removal of a member."""
 
     #: The member to remove.
@@ -42,19 +42,19 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Verdict:
+class JoinDecision:
     """A leader's decision on an applicant."""
 
     #: Whether it was removed from the group and must start again as a new replica.
     #: The applicant then erases its disk, so only a leader that a quorum confirms
     #: may report this.
-    is_outsider: bool = False
+    was_removed: bool = False
     #: The membership change that admits it, or the first of two; None if it is
     #: already a member or was removed.
-    change: Admission | Removal | None = None
+    change: MemberAddition | MemberRemoval | None = None
 
 
-def judge_applicant(members: Members, applicant: Applicant) -> Verdict:
+def evaluate_candidate(members: Members, applicant: JoinCandidate) -> JoinDecision:
     """Decide which membership change an applicant needs.
 
     A box that lost its disk returns with a new name at its old address.  The old
@@ -64,19 +64,19 @@
         members: the leader's current members.
         applicant: the replica that asks.
     """
-    if any(member.replica == applicant.replica for member in members.everyone()):
-        return Verdict()
+    if any(member.replica == applicant.replica for member in members.all_members()):
+        return JoinDecision()
     if applicant.cluster:
-        return Verdict(is_outsider=True)
-    for member in members.everyone():
+        return JoinDecision(was_removed=True)
+    for member in members.all_members():
         if member.address == applicant.address:
             reason = "its box restarted without its disk"
-            return Verdict(change=Removal(member=member, reason=reason))
+            return JoinDecision(change=MemberRemoval(member=member, reason=reason))
     admitted = Member(replica=applicant.replica, address=applicant.address)
-    return Verdict(change=Admission(member=admitted))
+    return JoinDecision(change=MemberAddition(member=admitted))
 
 
-def may_say_outsider(replica: Replica) -> bool:
+def can_confirm_removal(replica: Replica) -> bool:
     """Return whether a confirmed leader may tell a replica that it was removed.
 
     An uncommitted removal may be undone by another leader, for which the applicant
@@ -85,9 +85,9 @@
     return replica.is_leader and replica.is_members_committed()
 
 
-def find_gone(
+def find_member_to_remove(
     members: Members, silence_of: Callable[[str], float], wanted_voters: int
-) -> Removal | None:
+) -> MemberRemoval | None:
     """Return the member that the leader should remove, or None.
 
     A voter that does not reply stays until there are more voters than wanted: a slow
@@ -101,16 +101,16 @@
     """
     silent_learners = [m for m in members.learners if silence_of(m.replica) > SILENCE_SECONDS]
     if silent_learners:
-        return Removal(member=silent_learners[0], reason="the learner stopped replying")
+        return MemberRemoval(member=silent_learners[0], reason="the learner stopped replying")
     if len(members.voters) <= wanted_voters:
         return None
     most_silent = max(members.voters, key=lambda member: silence_of(member.replica))
     if silence_of(most_silent.replica) <= SILENCE_SECONDS:
         return None
     reason = "the voter stopped replying and the group has more voters than wanted"
-    return Removal(member=most_silent, reason=reason)
+    return MemberRemoval(member=most_silent, reason=reason)
 
 
-def may_found(own_address: str, seeds: Sequence[str], *, is_first_start: bool) -> bool:
+def may_bootstrap_group(own_address: str, seeds: Sequence[str], *, is_first_start: bool) -> bool:
     """Return whether a box without a group founds one: the lowest seed, at the first start."""
     return is_first_start and own_address == min(seeds)
--- a/packages/damsonlane/src/damsonlane/agreement/_replica.py
+++ b/packages/damsonlane/src/damsonlane/consensus/_replica.py
@@ -10,9 +10,9 @@
 from collections.abc import Sequence
 from typing import Final, Literal
 
-from damsonlane.agreement._followers import Followers, Progress, find_majority
-from damsonlane.agreement._log import Log
-from damsonlane.agreement._messages import (
+from damsonlane.consensus._followers import Followers, Progress, find_majority
+from damsonlane.consensus._log import Log
+from damsonlane.consensus._messages import (
     AppendReply,
     AppendRequest,
     Body,
@@ -29,10 +29,10 @@
     VoteReply,
     VoteRequest,
 )
-from damsonlane.agreement._outbox import Outbox
-from damsonlane.agreement._output import Output, Persist
-from damsonlane.agreement._reads import WaitingReads
-from damsonlane.agreement._stored import Stored
+from damsonlane.consensus._outbox import Outbox
+from damsonlane.consensus._output import Output, Persist
+from damsonlane.consensus._reads import WaitingReads
+from damsonlane.consensus._stored import PersistentState
 from damsonlane.errors import AgreementError, NotLeaderError
 
 #: Heartbeats that a leader sends per election timeout.
@@ -70,7 +70,7 @@
         *,
         cluster: str,
         name: str,
-        stored: Stored,
+        stored: PersistentState,
         election_seconds: float,
         randomness: random.Random,
         now: float,
@@ -130,7 +130,7 @@
 
     def leader_address(self) -> str:
         """Return the leader's address, or an empty string if it is not known."""
-        for member in self.members.everyone():
+        for member in self.members.all_members():
             if member.replica == self.leader:
                 return member.address
         return ""
@@ -161,7 +161,7 @@
             return now - self._followers.quorum_contact_at(self.members, self.name, self._now)
         return now - self._current_as_of if self.leader else float("inf")
 
-    def silence_of(self, replica: str) -> float:
+    def seconds_since_reply(self, replica: str) -> float:
         """Return the seconds since a member last replied (leader only)."""
         if replica == self.name:
             return 0.0
@@ -229,7 +229,7 @@
         """
         self._now = max(self._now, now)
         self._require_change_allowed()
-        if any(known.replica == member.replica for known in self.members.everyone()):
+        if any(known.replica == member.replica for known in self.members.all_members()):
             raise AgreementError(f"replica '{member.replica}' is a member already")
         self._change_members(self.members.with_learner(member))
         return self._take_output()
@@ -245,7 +245,7 @@
         self._now = max(self._now, now)
         self._require_change_allowed()
         members = self.members
-        if not any(known.replica == replica for known in members.everyone()):
+        if not any(known.replica == replica for known in members.all_members()):
             raise AgreementError(f"replica '{replica}' is not a member")
         if members.is_voter(replica) and len(members.voters) == 1:
             raise AgreementError(f"replica '{replica}' is the last voter")
@@ -276,9 +276,9 @@
         self._log.compact(snapshot)
         return snapshot
 
-    def stored(self) -> Stored:
+    def persistent_state(self) -> PersistentState:
         """Return everything that the disk should hold now."""
-        return Stored(
+        return PersistentState(
             hard_state=HardState(term=self.term, voted_for=self.voted_for),
             snapshot=self._log.snapshot,
             entries=self._log.between(self._log.snapshot.index + 1, self._log.last_index),
--- a/packages/damsonlane/src/damsonlane/agreement/_stored.py
+++ b/packages/damsonlane/src/damsonlane/consensus/_stored.py
@@ -3,15 +3,15 @@
 from dataclasses import dataclass
 from typing import Final
 
-from damsonlane.agreement._messages import HardState, LogEntry, Members, Snapshot
-from damsonlane.agreement._output import Persist
+from damsonlane.consensus._messages import HardState, LogEntry, Members, Snapshot
+from damsonlane.consensus._output import Persist
 
 #: Snapshot of an empty data folder.
 EMPTY_SNAPSHOT: Final = Snapshot(index=0, term=0, members=Members(voters=()), state="")
 
 
 @dataclass(frozen=True, kw_only=True)
-class Stored:
+class PersistentState:
     """Everything that must survive a crash of the replica."""
 
     #: Current term and vote.
@@ -21,7 +21,7 @@
     #: Entries after the snapshot.
     entries: tuple[LogEntry, ...] = ()
 
-    def with_persist(self, persist: Persist) -> "Stored":
+    def with_persist(self, persist: Persist) -> "PersistentState":
         """Return the persistent state after a write."""
         snapshot = self.snapshot
         entries = list(self.entries)
@@ -31,7 +31,7 @@
         if persist.entries:
             del entries[persist.entries[0].index - snapshot.index - 1 :]
             entries.extend(persist.entries)
-        return Stored(
+        return PersistentState(
             hard_state=persist.hard_state or self.hard_state,
             snapshot=snapshot,
             entries=tuple(entries),
--- a/packages/damsonlane/src/damsonlane/agreement/tests/group.py
+++ b/packages/damsonlane/src/damsonlane/consensus/tests/group.py
@@ -5,7 +5,17 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from damsonlane.agreement import (
+from damsonlane.cluster import (
+    ChangeAccepted,
+    ChangeSettings,
+    ClusterSnapshot,
+    ClusterState,
+    Reply,
+    decode_command,
+    encode_command,
+)
+from damsonlane.codec import decode_bytes, encode_text
+from damsonlane.consensus import (
     EMPTY_SNAPSHOT,
     Envelope,
     HardState,
@@ -15,21 +25,11 @@
     Opaque,
     Output,
     Persist,
+    PersistentState,
     Replica,
     Snapshot,
-    Stored,
 )
-from damsonlane.agreement._followers import find_majority
-from damsonlane.cluster import (
-    ChangeAccepted,
-    ChangeSettings,
-    ClusterSnapshot,
-    ClusterState,
-    Reply,
-    decode_command,
-    encode_command,
-)
-from damsonlane.codec import decode_bytes, encode_text
+from damsonlane.consensus._followers import find_majority
 from damsonlane.errors import AgreementError, NotLeaderError
 from damsonlane.settings import Edit
 
@@ -99,8 +99,8 @@
 class Disk:
     """State of a box that survives a crash."""
 
-    stored: Stored = field(
-        default_factory=lambda: Stored(hard_state=HardState(), snapshot=EMPTY_SNAPSHOT)
+    stored: PersistentState = field(
+        default_factory=lambda: PersistentState(hard_state=HardState(), snapshot=EMPTY_SNAPSHOT)
     )
 
     def write(self, persist: Persist) -> None:
@@ -120,7 +120,7 @@
 class Box:
     """A box that runs one replica, with its disk, clock and applied state."""
 
-    def __init__(self, group: "Group", name: str, stored: Stored | None = None) -> None:
+    def __init__(self, group: "Group", name: str, stored: PersistentState | None = None) -> None:
         self.group = group
         self.name = name
         self.disk = Disk(stored) if stored else Disk()
@@ -192,7 +192,7 @@
             text = _drop_answers(text)
             self.state = ClusterState.from_text(text)
         self.replica.compact(text, self.applied)
-        self.disk.stored = self.replica.stored()
+        self.disk.stored = self.replica.persistent_state()
 
     def _apply_all(self, output: Output) -> None:
         if output.installed is not None:
@@ -244,7 +244,7 @@
         names = [f"box-{number}" for number in range(size)]
         members = Members(voters=tuple(Member(replica=n, address=n) for n in names))
         snapshot = Snapshot(index=1, term=1, members=members, state="")
-        stored = Stored(hard_state=HardState(term=1), snapshot=snapshot)
+        stored = PersistentState(hard_state=HardState(term=1), snapshot=snapshot)
         self.boxes = {name: Box(self, name, stored) for name in names}
 
     # Called by the boxes.
--- a/packages/damsonlane/src/damsonlane/agreement/tests/machine.py
+++ b/packages/damsonlane/src/damsonlane/consensus/tests/machine.py
@@ -5,8 +5,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from damsonlane.agreement import HardState, Member, Members, Snapshot, Stored
-from damsonlane.agreement.tests.group import ELECTION_SECONDS, Box, Disk, Fault, Group
+from damsonlane.consensus import HardState, Member, Members, PersistentState, Snapshot
+from damsonlane.consensus.tests.group import ELECTION_SECONDS, Box, Disk, Fault, Group
 
 #: Maximum number of attempts to send a change after all faults are healed.
 _MOST_RESENDS = 20
@@ -172,7 +172,7 @@
             )
         )
         snapshot = Snapshot(index=1, term=1, members=members, state="")
-        box.disk = Disk(Stored(hard_state=HardState(term=1), snapshot=snapshot))
+        box.disk = Disk(PersistentState(hard_state=HardState(term=1), snapshot=snapshot))
         box.start()
 
     # Sequences that single rules rarely produce.
@@ -254,7 +254,7 @@
 
     def _members(self, box: Box) -> list[str]:
         replica = box.replica
-        return [member.replica for member in replica.members.everyone()] if replica else []
+        return [member.replica for member in replica.members.all_members()] if replica else []
 
     # Invariants.
 
--- a/packages/damsonlane/src/damsonlane/agreement/tests/repair_machine.py
+++ b/packages/damsonlane/src/damsonlane/consensus/tests/repair_machine.py
@@ -5,23 +5,23 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import initialize, precondition, rule
 
-from damsonlane.agreement import (
-    Admission,
-    Applicant,
+from damsonlane.consensus import (
     HardState,
+    JoinCandidate,
     Member,
+    MemberAddition,
+    MemberRemoval,
     Members,
-    Removal,
+    PersistentState,
     Replica,
     Snapshot,
-    Stored,
-    find_gone,
-    judge_applicant,
-    may_found,
-    may_say_outsider,
+    can_confirm_removal,
+    evaluate_candidate,
+    find_member_to_remove,
+    may_bootstrap_group,
 )
-from damsonlane.agreement.tests.group import CLUSTER, Box, Fault
-from damsonlane.agreement.tests.machine import PICK, GroupMachine, find_address
+from damsonlane.consensus.tests.group import CLUSTER, Box, Fault
+from damsonlane.consensus.tests.machine import PICK, GroupMachine, find_address
 
 #: Repair rounds after which all boxes of a healed group must be voters again.
 _MOST_REPAIRS = 80
@@ -45,7 +45,7 @@
         super().found(size, seed)
         names = sorted(self.group.boxes)
         for name in names:
-            is_founder = may_found(name, names[:3], is_first_start=True)
+            is_founder = may_bootstrap_group(name, names[:3], is_first_start=True)
             self.group.boxes[name] = Box(self.group, name, _found(name) if is_founder else None)
         for _ in range(_MOST_REPAIRS):
             self._repair_once()
@@ -138,10 +138,10 @@
             return
         if judge.state_age(leader.clock) == float("inf"):
             return
-        verdict = judge_applicant(judge.members, _apply(box, replica))
+        verdict = evaluate_candidate(judge.members, _apply(box, replica))
         if verdict.change is not None:
             self._change(leader, verdict.change)
-        elif verdict.is_outsider:
+        elif verdict.was_removed:
             self._tell_outsider(box, leader)
 
     def _tell_outsider(self, box: Box, leader: Box) -> None:
@@ -151,9 +151,9 @@
 
         def tell() -> None:
             replica, judge = box.replica, leader.replica
-            if replica is None or judge is None or not may_say_outsider(judge):
+            if replica is None or judge is None or not can_confirm_removal(judge):
                 return
-            if judge_applicant(judge.members, _apply(box, replica)).is_outsider:
+            if evaluate_candidate(judge.members, _apply(box, replica)).was_removed:
                 self._start_anew(box)
 
         self.group.read(leader.name, tell)
@@ -163,13 +163,13 @@
         if replica is None or not replica.is_leader:
             return
         wanted = self.size if self.fault is not Fault.VOTER_GIVEN_UP else 1
-        removal = find_gone(replica.members, replica.silence_of, wanted)
+        removal = find_member_to_remove(replica.members, replica.seconds_since_reply, wanted)
         if removal is not None:
             self._change(leader, removal)
 
-    def _change(self, leader: Box, change: Admission | Removal) -> None:
+    def _change(self, leader: Box, change: MemberAddition | MemberRemoval) -> None:
         member = change.member
-        if isinstance(change, Removal):
+        if isinstance(change, MemberRemoval):
             self.group.change_members(
                 leader.name, lambda replica, now: replica.remove(now, member.replica)
             )
@@ -211,16 +211,16 @@
         return f"boxes {sorted(self.group.boxes)}, members {replica.members if replica else None}"
 
 
-def _found(name: str) -> Stored:
+def _found(name: str) -> PersistentState:
     """Return the persistent state of a box that founded a group of one."""
     member = Member(replica=name, address=name)
     snapshot = Snapshot(index=1, term=1, members=Members(voters=(member,)), state="")
-    return Stored(hard_state=HardState(term=1), snapshot=snapshot)
+    return PersistentState(hard_state=HardState(term=1), snapshot=snapshot)
 
 
-def _apply(box: Box, replica: Replica) -> Applicant:
-    cluster = CLUSTER if replica.members.everyone() else ""
-    return Applicant(replica=box.name, address=find_address(box.name), cluster=cluster)
+def _apply(box: Box, replica: Replica) -> JoinCandidate:
+    cluster = CLUSTER if replica.members.all_members() else ""
+    return JoinCandidate(replica=box.name, address=find_address(box.name), cluster=cluster)
 
 
 def _count_synced(box: Box) -> int:
--- a/packages/damsonlane/src/damsonlane/agreement/tests/test_machine.py
+++ b/packages/damsonlane/src/damsonlane/consensus/tests/test_machine.py
@@ -5,8 +5,8 @@
 from hypothesis import HealthCheck, Phase, settings
 from hypothesis.stateful import run_state_machine_as_test
 
-from damsonlane.agreement.tests.group import Fault
-from damsonlane.agreement.tests.machine import GroupMachine, make_machine
+from damsonlane.consensus.tests.group import Fault
+from damsonlane.consensus.tests.machine import GroupMachine, make_machine
 
 _SETTINGS = settings(
     max_examples=120,
--- a/packages/damsonlane/src/damsonlane/agreement/tests/test_repair.py
+++ b/packages/damsonlane/src/damsonlane/consensus/tests/test_repair.py
@@ -5,20 +5,20 @@
 from hypothesis import HealthCheck, settings
 from hypothesis.stateful import run_state_machine_as_test
 
-from damsonlane.agreement import (
-    Admission,
-    Applicant,
+from damsonlane.consensus import (
+    JoinCandidate,
+    JoinDecision,
     Member,
+    MemberAddition,
+    MemberRemoval,
     Members,
-    Removal,
-    Verdict,
-    find_gone,
-    judge_applicant,
-    may_found,
+    evaluate_candidate,
+    find_member_to_remove,
+    may_bootstrap_group,
 )
-from damsonlane.agreement._repair import SILENCE_SECONDS
-from damsonlane.agreement.tests.group import ELECTION_SECONDS, Fault
-from damsonlane.agreement.tests.repair_machine import RepairMachine, make_repair_machine
+from damsonlane.consensus._repair import SILENCE_SECONDS
+from damsonlane.consensus.tests.group import ELECTION_SECONDS, Fault
+from damsonlane.consensus.tests.repair_machine import RepairMachine, make_repair_machine
 
 _SETTINGS = settings(
     max_examples=60,
@@ -35,22 +35,24 @@
 class ApplicantTest(unittest.TestCase):
     def test_decision_on_each_applicant(self) -> None:
         cases = (
-            ("a member", "a", "at-a", "group", Verdict()),
-            ("a learner", "c", "at-c", "", Verdict()),
-            ("a removed replica", "x", "at-x", "group", Verdict(is_outsider=True)),
-            ("a new box", "d", "at-d", "", Verdict(change=Admission(member=_D))),
+            ("a member", "a", "at-a", "group", JoinDecision()),
+            ("a learner", "c", "at-c", "", JoinDecision()),
+            ("a removed replica", "x", "at-x", "group", JoinDecision(was_removed=True)),
+            ("a new box", "d", "at-d", "", JoinDecision(change=MemberAddition(member=_D))),
             (
                 "a box without its disk",
                 "b2",
                 "at-b",
                 "",
-                Verdict(change=Removal(member=_B, reason="its box restarted without its disk")),
+                JoinDecision(
+                    change=MemberRemoval(member=_B, reason="its box restarted without its disk")
+                ),
             ),
         )
         for name, replica, address, cluster, expected in cases:
             with self.subTest(name):
-                applicant = Applicant(replica=replica, address=address, cluster=cluster)
-                self.assertEqual(judge_applicant(_GROUP, applicant), expected)
+                applicant = JoinCandidate(replica=replica, address=address, cluster=cluster)
+                self.assertEqual(evaluate_candidate(_GROUP, applicant), expected)
 
 
 class FindMemberToRemoveTest(unittest.TestCase):
@@ -67,7 +69,7 @@
                 def silence_of(replica: str, silent: str = silent) -> float:
                     return 2 * SILENCE_SECONDS if replica == silent else 0.0
 
-                removal = find_gone(_GROUP, silence_of, wanted)
+                removal = find_member_to_remove(_GROUP, silence_of, wanted)
                 self.assertEqual(removal.member if removal else None, expected)
 
 
@@ -82,7 +84,8 @@
         for name, own, is_first_start, expected in cases:
             with self.subTest(name):
                 self.assertEqual(
-                    may_found(own, ("2", "1", "3"), is_first_start=is_first_start), expected
+                    may_bootstrap_group(own, ("2", "1", "3"), is_first_start=is_first_start),
+                    expected,
                 )
 
 
--- a/packages/damsonlane/src/damsonlane/agreement/tests/test_replica.py
+++ b/packages/damsonlane/src/damsonlane/consensus/tests/test_replica.py
@@ -3,17 +3,17 @@
 import random
 import unittest
 
-from damsonlane.agreement import (
+from damsonlane.consensus import (
     AppendRequest,
     Envelope,
     HardState,
     Member,
     Members,
+    PersistentState,
     Replica,
     Snapshot,
-    Stored,
 )
-from damsonlane.agreement.tests.group import Box, Fault, Group
+from damsonlane.consensus.tests.group import Box, Fault, Group
 
 
 def _elect(group: Group) -> Box:
@@ -85,7 +85,7 @@
         self.replica = Replica(
             cluster="g",
             name="a",
-            stored=Stored(hard_state=HardState(term=1), snapshot=snapshot),
+            stored=PersistentState(hard_state=HardState(term=1), snapshot=snapshot),
             election_seconds=1.0,
             randomness=random.Random(1),
             now=0.0,
--- a/packages/damsonlane/src/damsonlane/agreement/tests/test_scripts.py
+++ b/packages/damsonlane/src/damsonlane/consensus/tests/test_scripts.py
@@ -2,8 +2,8 @@
 
 import unittest
 
-from damsonlane.agreement import AppendRequest, Envelope, Member
-from damsonlane.agreement.tests.group import ELECTION_SECONDS, Box, Fault, Group
+from damsonlane.consensus import AppendRequest, Envelope, Member
+from damsonlane.consensus.tests.group import ELECTION_SECONDS, Box, Fault, Group
 
 
 def _connect(group: Group, *names: str) -> None:
--- a/packages/damsonlane_rpc/src/damsonlane_rpc/_messages.py
+++ b/packages/damsonlane_rpc/src/damsonlane_rpc/_messages.py
@@ -5,9 +5,9 @@
 
 from pydantic import Field, JsonValue
 
-from damsonlane.agreement import Members
 from damsonlane.burn import CompletionCount
 from damsonlane.cluster import AcceptedChange, ChangeReply, Command, PackedDocument, Reply
+from damsonlane.consensus import Members
 from damsonlane.costs import CostTotal
 from damsonlane.evacuation import Evacuation
 from damsonlane.membership import BoxRecord
--- a/packages/damsonlane_rpc/src/damsonlane_rpc/_methods.py
+++ b/packages/damsonlane_rpc/src/damsonlane_rpc/_methods.py
@@ -8,7 +8,7 @@
 from grpclib.const import Cardinality, Handler
 from grpclib.server import Stream
 
-from damsonlane.agreement import Envelope
+from damsonlane.consensus import Envelope
 from damsonlane_rpc._fleet_messages import (
     FollowReport,
     FollowUpdate,
--- a/packages/damsonlaned/src/damsonlaned/control/_group_manager.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_group_manager.py
@@ -11,15 +11,15 @@
 from grpclib.const import Handler
 from grpclib.server import Stream
 
-from damsonlane.agreement import (
-    Admission,
-    Applicant,
-    Removal,
+from damsonlane.consensus import (
+    JoinCandidate,
+    MemberAddition,
+    MemberRemoval,
     Replica,
-    find_gone,
-    judge_applicant,
-    may_found,
-    may_say_outsider,
+    can_confirm_removal,
+    evaluate_candidate,
+    find_member_to_remove,
+    may_bootstrap_group,
 )
 from damsonlane.errors import AgreementError, NotLeaderError, StorageError, UnavailableError
 from damsonlane.settings import Founding
@@ -131,7 +131,7 @@
             await self._join_or_found()
             return
         self._group_client.update_addresses(
-            [member.address for member in replica.members.everyone()]
+            [member.address for member in replica.members.all_members()]
         )
         if replica.leader:
             self._leader_seen_at = self._node.now()
@@ -145,7 +145,9 @@
         if await self._request_admission():
             return
         settings = self._founding
-        if may_found(self._own_address, settings.seeds, is_first_start=settings.is_first_start):
+        if may_bootstrap_group(
+            self._own_address, settings.seeds, is_first_start=settings.is_first_start
+        ):
             self._node.found_group()
             _LOG.info("group founded", extra={"cluster": self._node.identity.cluster})
 
@@ -204,7 +206,7 @@
     def _known_addresses(self) -> list[str]:
         candidates = {*self._founding.seeds, *self._seeds}
         if self._node.replica is not None:
-            candidates.update(member.address for member in self._node.replica.members.everyone())
+            candidates.update(member.address for member in self._node.replica.members.all_members())
         candidates.discard(self._own_address)
         addresses = sorted(candidates)
         random.shuffle(addresses)
@@ -215,23 +217,23 @@
     async def _serve_join(self, stream: Stream[JoinRequest, JoinReply]) -> None:
         request = await stream.recv_message()
         if request is not None:
-            applicant = Applicant(
+            applicant = JoinCandidate(
                 replica=request.replica, address=request.address, cluster=request.cluster
             )
             await stream.send_message(JoinReply(outcome=await self._answer_join(applicant)))
 
-    async def _answer_join(self, applicant: Applicant) -> Done | NotLeader | NotAMember:
+    async def _answer_join(self, applicant: JoinCandidate) -> Done | NotLeader | NotAMember:
         replica = self._node.replica
         if replica is None or not replica.is_leader or self._node.state_age() is None:
             return NotLeader(leader=replica.leader_address() if replica else "")
-        decision = judge_applicant(replica.members, applicant)
-        if decision.is_outsider:
+        decision = evaluate_candidate(replica.members, applicant)
+        if decision.was_removed:
             return await self._confirm_removed(applicant)
         if decision.change is not None:
             self._try_change(decision.change)
         return Done()
 
-    async def _confirm_removed(self, applicant: Applicant) -> NotLeader | NotAMember:
+    async def _confirm_removed(self, applicant: JoinCandidate) -> NotLeader | NotAMember:
         """Answer that a replica was removed, once a quorum confirms that this replica leads.
 
         The removed replica erases its disk on that answer, so a leader that was deposed in the
@@ -246,21 +248,23 @@
             )
             return NotLeader(leader="")
         replica = self._node.replica
-        if replica is None or not may_say_outsider(replica):
+        if replica is None or not can_confirm_removal(replica):
             return NotLeader(leader="")
-        was_removed = judge_applicant(replica.members, applicant).is_outsider
+        was_removed = evaluate_candidate(replica.members, applicant).was_removed
         return NotAMember() if was_removed else NotLeader(leader="")
 
     def _remove_lost_member(self, replica: Replica) -> None:
-        removal = find_gone(replica.members, replica.silence_of, self._founding.voters)
+        removal = find_member_to_remove(
+            replica.members, replica.seconds_since_reply, self._founding.voters
+        )
         if removal is not None:
             self._try_change(removal)
 
-    def _try_change(self, change: Admission | Removal) -> None:
+    def _try_change(self, change: MemberAddition | MemberRemoval) -> None:
         """Change the group; if another change is in progress, a later check tries again."""
         replica = change.member.replica
         try:
-            if isinstance(change, Removal):
+            if isinstance(change, MemberRemoval):
                 self._node.remove(replica)
                 _LOG.info("replica removed", extra={"replica": replica, "reason": change.reason})
             else:
--- a/packages/damsonlaned/src/damsonlaned/control/_membership.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_membership.py
@@ -78,7 +78,7 @@
         return [
             LoseBox(box=record.box, incarnation=record.incarnation, via=record.via)
             for record in self._node.state.membership.records()
-            if replica.silence_of(record.via) > REPLICA_TIMEOUT_SECONDS
+            if replica.seconds_since_reply(record.via) > REPLICA_TIMEOUT_SECONDS
         ]
 
     def _make_record(self, report: WatchReport) -> BoxRecord:
--- a/packages/damsonlaned/src/damsonlaned/control/_node.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_node.py
@@ -11,7 +11,8 @@
 from dataclasses import dataclass
 from typing import Final
 
-from damsonlane.agreement import (
+from damsonlane.cluster import ClusterState, Command, Reply, decode_command, encode_command
+from damsonlane.consensus import (
     EMPTY_SNAPSHOT,
     Envelope,
     HardState,
@@ -20,11 +21,10 @@
     Members,
     Opaque,
     Output,
+    PersistentState,
     Replica,
     Snapshot,
-    Stored,
 )
-from damsonlane.cluster import ClusterState, Command, Reply, decode_command, encode_command
 from damsonlane.errors import (
     AgreementError,
     CorruptionError,
@@ -195,7 +195,7 @@
             raise AgreementError(f"this box belongs to the group {self.identity.cluster} already")
         member = Member(replica=self.identity.replica, address=self.settings.internal_address)
         snapshot = Snapshot(index=1, term=1, members=Members(voters=(member,)), state="")
-        stored = Stored(hard_state=HardState(term=1), snapshot=snapshot)
+        stored = PersistentState(hard_state=HardState(term=1), snapshot=snapshot)
         self._journal.rewrite(stored)
         self._write_cluster(secrets.token_hex(8))
         self._start_replica(stored)
@@ -209,7 +209,7 @@
         """
         member = Member(replica=replica, address=address)
         own_replica = self._require_replica()
-        if own_replica.is_leader and member in own_replica.members.everyone():
+        if own_replica.is_leader and member in own_replica.members.all_members():
             # A client retries a call whose reply is late; the retry must succeed too.
             return
         self._process_output(own_replica.add_learner(self.now(), member))
@@ -270,7 +270,7 @@
             with self._stop_on_write_failure():
                 self._journal.append(output.persist)
             next_output = replica.acknowledge_persist()
-        self._peers.update_members(replica.members.everyone())
+        self._peers.update_members(replica.members.all_members())
         for envelope in output.envelopes:
             self._peers.send(envelope)
         if output.installed is not None:
@@ -348,7 +348,7 @@
         self._since_snapshot = 0
         replica.compact(self.state.to_text(), self._applied)
         with self._stop_on_write_failure():
-            self._journal.rewrite(replica.stored())
+            self._journal.rewrite(replica.persistent_state())
 
     def _is_snapshot_due(self) -> bool:
         is_long = self._since_snapshot >= ENTRIES_PER_SNAPSHOT
@@ -373,7 +373,7 @@
 
     def _join_cluster(self, cluster: str) -> None:
         self._write_cluster(cluster)
-        self._start_replica(Stored(hard_state=HardState(), snapshot=EMPTY_SNAPSHOT))
+        self._start_replica(PersistentState(hard_state=HardState(), snapshot=EMPTY_SNAPSHOT))
 
     def _recover(self) -> None:
         """Read the journal; with automatic repair, treat a damaged one as a lost disk."""
@@ -402,7 +402,7 @@
         self.identity = self.identity.with_cluster(cluster)
         write_identity(self._folder, self.identity)
 
-    def _start_replica(self, stored: Stored) -> None:
+    def _start_replica(self, stored: PersistentState) -> None:
         self.state = ClusterState.from_text(stored.snapshot.state)
         self._applied = stored.snapshot.index
         self.replica = Replica(
@@ -413,7 +413,7 @@
             randomness=random.Random(),
             now=self.now(),
         )
-        self._peers.update_members(self.replica.members.everyone())
+        self._peers.update_members(self.replica.members.all_members())
         _LOG.info("replica started", extra={"replica": self.identity.replica})
 
     def _require_replica(self) -> Replica:
--- a/packages/damsonlaned/src/damsonlaned/control/_peer_streams.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_peer_streams.py
@@ -10,7 +10,7 @@
 
 from grpclib.client import Stream
 
-from damsonlane.agreement import Envelope, Member
+from damsonlane.consensus import Envelope, Member
 from damsonlane_rpc import CALL_ERRORS, EXCHANGE, ExchangeEnd, open_channel
 from damsonlaned.tasks import start_task
 
--- a/packages/damsonlaned/src/damsonlaned/control/_service.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_service.py
@@ -13,8 +13,8 @@
 from grpclib.const import Handler
 from grpclib.server import Stream
 
-from damsonlane.agreement import Envelope, Members
 from damsonlane.cluster import ChangeSettings, Command
+from damsonlane.consensus import Envelope, Members
 from damsonlane.errors import AgreementError, NotLeaderError, UnavailableError
 from damsonlane.evacuation import EvacuateDataCentre, RestoreDataCentre
 from damsonlane.quarantine import RecordTargetExit, ReleaseRequest
--- a/packages/damsonlaned/src/damsonlaned/control/tests/test_group.py
+++ b/packages/damsonlaned/src/damsonlaned/control/tests/test_group.py
@@ -5,8 +5,8 @@
 from contextlib import AbstractContextManager, nullcontext
 from unittest import mock
 
-from damsonlane.agreement import Applicant, Replica
 from damsonlane.cluster import PackedDocument, ReplaceDocument
+from damsonlane.consensus import JoinCandidate, Replica
 from damsonlane.errors import AgreementError, UnavailableError
 from damsonlane.evacuation import EvacuateDataCentre, EvacuationRecorded
 from damsonlane_rpc import (
@@ -44,7 +44,7 @@
         await self.start(0, is_first_start=True)
         box = self.running[0]
         await self.wait(box.is_leader, "no box leads")
-        applicant = Applicant(replica="removed", address="127.0.0.1:1", cluster="known")
+        applicant = JoinCandidate(replica="removed", address="127.0.0.1:1", cluster="known")
         unconfirmed = mock.patch.object(box.node, "confirm", side_effect=UnavailableError("no"))
         undone = mock.patch.object(Replica, "is_members_committed", return_value=False)
         cases: tuple[tuple[str, AbstractContextManager[object], type], ...] = (
@@ -85,7 +85,7 @@
         await self.start(0, 1)
         await self.wait_for_voters(0, 1, 2, 3, 4)
         replica = self.running[0].node.replica
-        names = {member.replica for member in replica.members.everyone()} if replica else old
+        names = {member.replica for member in replica.members.all_members()} if replica else old
         self.assertFalse(names & old)
         await self.wait(
             lambda: all(box.node.state.documents.document.version == 7 for box in self.running),
--- a/packages/damsonlaned/src/damsonlaned/control/tests/test_node.py
+++ b/packages/damsonlaned/src/damsonlaned/control/tests/test_node.py
@@ -5,7 +5,7 @@
 import unittest
 from unittest import mock
 
-from damsonlane.agreement import AppendRequest, Envelope, LogEntry, Noop, Output
+from damsonlane.consensus import AppendRequest, Envelope, LogEntry, Noop, Output
 from damsonlane.errors import NotLeaderError, StorageError
 from damsonlane.settings import BoxSettings
 from damsonlaned.control import ControlNode
--- a/packages/damsonlaned/src/damsonlaned/control/tests/test_peer_streams.py
+++ b/packages/damsonlaned/src/damsonlaned/control/tests/test_peer_streams.py
@@ -7,7 +7,7 @@
 import unittest
 from unittest import mock
 
-from damsonlane.agreement import AppendRequest, Envelope
+from damsonlane.consensus import AppendRequest, Envelope
 from damsonlaned.control._peer_streams import PeerStream, PeerStreams
 
 
--- a/packages/damsonlaned/src/damsonlaned/storage/_journal.py
+++ b/packages/damsonlaned/src/damsonlaned/storage/_journal.py
@@ -12,8 +12,8 @@
 
 from pydantic import ValidationError
 
-from damsonlane.agreement import EMPTY_SNAPSHOT, HardState, Persist, Stored
 from damsonlane.codec import decode_bytes, encode_bytes
+from damsonlane.consensus import EMPTY_SNAPSHOT, HardState, Persist, PersistentState
 from damsonlane.errors import CorruptionError, StorageError
 from damsonlaned.storage._files import replace_file
 from damsonlaned.storage._frames import Frame, encode_frame, find_frame, read_frames
@@ -46,9 +46,9 @@
         Raises:
             StorageError: the write failed.
         """
-        self.rewrite(Stored(hard_state=HardState(), snapshot=EMPTY_SNAPSHOT))
+        self.rewrite(PersistentState(hard_state=HardState(), snapshot=EMPTY_SNAPSHOT))
 
-    def recover(self) -> Stored:
+    def recover(self) -> PersistentState:
         """Read the journal, truncate an incomplete last frame, and open the file for writing.
 
         Raises:
@@ -65,7 +65,7 @@
             self._truncate(data, end)
         if not frames:
             raise CorruptionError(str(self._path), 0, "the first frame is incomplete or damaged")
-        stored = self._decode(frames[0], Stored)
+        stored = self._decode(frames[0], PersistentState)
         for frame in frames[1:]:
             stored = stored.with_persist(self._decode(frame, Persist))
         self._open()
@@ -87,14 +87,14 @@
         except OSError as error:
             raise StorageError(f"{self._path}: cannot be written: {error.strerror}") from None
 
-    def rewrite(self, stored: Stored) -> None:
+    def rewrite(self, stored: PersistentState) -> None:
         """Replace the journal by one that starts with ``stored``.
 
         Raises:
             StorageError: the write failed.
         """
         try:
-            replace_file(self._path, encode_frame(encode_bytes(stored, Stored)))
+            replace_file(self._path, encode_frame(encode_bytes(stored, PersistentState)))
             self._open()
             self.grown_bytes = 0
         except OSError as error:
--- a/packages/damsonlaned/src/damsonlaned/storage/tests/test_journal.py
+++ b/packages/damsonlaned/src/damsonlaned/storage/tests/test_journal.py
@@ -4,7 +4,7 @@
 import unittest
 from pathlib import Path
 
-from damsonlane.agreement import (
+from damsonlane.consensus import (
     HardState,
     LogEntry,
     Member,
@@ -12,14 +12,14 @@
     Noop,
     Opaque,
     Persist,
+    PersistentState,
     Snapshot,
-    Stored,
 )
 from damsonlane.errors import CorruptionError, StorageError
 from damsonlaned.storage import DataFolder, Identity, Journal, read_identity, write_identity
 
 _MEMBERS = Members(voters=(Member(replica="a", address="127.0.0.1:1"),))
-_START = Stored(
+_START = PersistentState(
     hard_state=HardState(term=1),
     snapshot=Snapshot(index=1, term=1, members=_MEMBERS, state="s"),
 )
@@ -46,7 +46,7 @@
     return lengths
 
 
-def _recover(folder: Path) -> Stored:
+def _recover(folder: Path) -> PersistentState:
     journal = Journal(folder)
     try:
         return journal.recover()
@@ -63,7 +63,7 @@
         self.content = (self.folder / "journal").read_bytes()
 
     def test_all_synced_writes_are_recovered(self) -> None:
-        expected = Stored(
+        expected = PersistentState(
             hard_state=HardState(term=2, voted_for="a"),
             snapshot=_START.snapshot,
             entries=(*_ENTRIES[:2], LogEntry(index=4, term=2, body=Noop())),
@@ -114,7 +114,7 @@
         (self.folder / "journal.new").write_bytes(b"half of a new one")
         self.assertEqual(_recover(self.folder), self._states()[-1])
 
-    def _states(self) -> list[Stored]:
+    def _states(self) -> list[PersistentState]:
         """Return the state recovered after each of the writes."""
         states = []
         for end in self.lengths:
--- a/tools/fuzz.py
+++ b/tools/fuzz.py
@@ -12,7 +12,7 @@
 from hypothesis import HealthCheck, Phase, seed, settings
 from hypothesis.stateful import run_state_machine_as_test
 
-from damsonlane.agreement.tests import group, machine
+from damsonlane.consensus.tests import group, machine
 from damsonlane.requests.tests import machine as request_machine
 from damsonlane.requests.tests import world
 
