--- a/packages/damsonlane/src/damsonlane/cluster/_state.py
+++ b/packages/damsonlane/src/damsonlane/cluster/_state.py
@@ -38,7 +38,7 @@
     StartJob,
     read_holder,
 )
-from damsonlane.membership import BoxNoted, BoxRecord, LoseBox, Membership, NoteBox
+from damsonlane.membership import BoxRecord, BoxUpdated, Membership, RemoveBox, UpdateBox
 from damsonlane.quarantine import (
     ForgetTargetExits,
     QuarantineRecorded,
@@ -70,8 +70,8 @@
     | FinishJob
     | DropJob
     | RecordCosts
-    | NoteBox
-    | LoseBox
+    | UpdateBox
+    | RemoveBox
     | ReplaceDocument
     | RegisterTarget
     | RemoveTarget
@@ -91,7 +91,7 @@
     | ChangeRefused
     | JobReply
     | CostsRecorded
-    | BoxNoted
+    | BoxUpdated
     | DocumentNoted
     | TargetRecorded
     | EvacuationRecorded
@@ -189,10 +189,10 @@
                 return self._add_holder_state(self.ledger.apply(command))
             case RecordCosts():
                 return self.costs.record(command)
-            case NoteBox():
-                return self.membership.note(command)
-            case LoseBox():
-                return self.membership.lose(command)
+            case UpdateBox():
+                return self.membership.update(command)
+            case RemoveBox():
+                return self.membership.remove(command)
             case ReplaceDocument():
                 return self.documents.replace(command)
             case RegisterTarget() | RemoveTarget() | MarkTargetsSilent():
--- a/packages/damsonlane/src/damsonlane/membership/__init__.py
+++ b/packages/damsonlane/src/damsonlane/membership/__init__.py
@@ -1,21 +1,21 @@
 """Membership of boxes: live or draining; an earlier incarnation never replaces a later one."""
 
 from damsonlane.membership._boxes import (
-    BoxNoted,
     BoxRecord,
     BoxStanding,
-    LoseBox,
+    BoxUpdated,
     Membership,
-    NoteBox,
+    RemoveBox,
+    UpdateBox,
 )
 from damsonlane.membership._owners import choose_owner
 
 __all__ = [
-    "BoxNoted",
+    "BoxUpdated",
     "BoxRecord",
     "BoxStanding",
-    "LoseBox",
+    "RemoveBox",
     "Membership",
-    "NoteBox",
+    "UpdateBox",
     "choose_owner",
 ]
--- a/packages/damsonlane/src/damsonlane/membership/_boxes.py
+++ b/packages/damsonlane/src/damsonlane/membership/_boxes.py
@@ -29,13 +29,13 @@
     #: Its position in the order in which incarnations joined, assigned by `Membership`.
     place: int = 0
 
-    def says_as(self, other: "BoxRecord") -> bool:
+    def is_same_report(self, other: "BoxRecord") -> bool:
         """Return whether two records are equal, apart from their positions."""
         return replace(self, place=0) == replace(other, place=0)
 
 
 @dataclass(frozen=True, kw_only=True)
-class NoteBox:
+class UpdateBox:
     """A control replica reports the current record of a box."""
 
     kind: Literal["note-box"] = "note-box"
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class LoseBox:
+class RemoveBox:
     """A control replica reports that a box fell silent."""
 
     kind: Literal["lose-box"] = "lose-box"
@@ -57,8 +57,8 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class BoxNoted:
-    """Reply to `NoteBox` and `LoseBox`."""
+class BoxUpdated:
+    """Reply to `UpdateBox` and `RemoveBox`."""
 
     kind: Literal["box-noted"] = "box-noted"
     #: Whether the membership changed.
@@ -79,18 +79,18 @@
         """Return the record of a box, or None if there is none."""
         return self._records.get(box)
 
-    def live(self) -> int:
+    def count_live(self) -> int:
         """Return the number of live boxes."""
         return sum(1 for record in self._records.values() if record.standing == "live")
 
-    def note(self, command: NoteBox) -> BoxNoted:
+    def update(self, command: UpdateBox) -> BoxUpdated:
         """Store a record, unless it is of an earlier incarnation than the stored one."""
         record = command.record
         stored = self._records.get(record.box)
         if stored is not None and (
-            stored.says_as(record) or _is_earlier_incarnation(record, stored)
+            stored.is_same_report(record) or _is_earlier_incarnation(record, stored)
         ):
-            return BoxNoted(is_changed=False)
+            return BoxUpdated(is_changed=False)
         if stored is not None and stored.incarnation == record.incarnation:
             # A delayed message must not make a draining box live again.
             is_leaving = "leaving" in (stored.standing, record.standing)
@@ -99,15 +99,15 @@
         else:
             record = replace(record, place=self._next_position())
         self._records[record.box] = record
-        return BoxNoted(is_changed=True)
+        return BoxUpdated(is_changed=True)
 
-    def lose(self, command: LoseBox) -> BoxNoted:
+    def remove(self, command: RemoveBox) -> BoxUpdated:
         """Delete a record, unless its box has restarted or moved to another control replica."""
         stored = self._records.get(command.box)
         if stored is None or (stored.incarnation, stored.via) != (command.incarnation, command.via):
-            return BoxNoted(is_changed=False)
+            return BoxUpdated(is_changed=False)
         del self._records[command.box]
-        return BoxNoted(is_changed=True)
+        return BoxUpdated(is_changed=True)
 
     def _next_position(self) -> int:
         """Return the position for a new incarnation, after all stored ones."""
--- a/packages/damsonlane/src/damsonlane/membership/tests/test_membership.py
+++ b/packages/damsonlane/src/damsonlane/membership/tests/test_membership.py
@@ -3,7 +3,7 @@
 import unittest
 from dataclasses import replace
 
-from damsonlane.membership import BoxRecord, LoseBox, Membership, NoteBox
+from damsonlane.membership import BoxRecord, Membership, RemoveBox, UpdateBox
 
 _REPORTED = BoxRecord(
     box="entry-1",
@@ -22,36 +22,44 @@
 _MOVED = replace(_FIRST, via="control-2")
 
 
-def _lose(record: BoxRecord) -> LoseBox:
-    return LoseBox(box=record.box, incarnation=record.incarnation, via=record.via)
+def _lose(record: BoxRecord) -> RemoveBox:
+    return RemoveBox(box=record.box, incarnation=record.incarnation, via=record.via)
 
 
 class MembershipTest(unittest.TestCase):
     def test_records_after_each_series_of_commands(self) -> None:
-        cases: list[tuple[str, list[NoteBox | LoseBox], list[BoxRecord]]] = [
-            ("new box", [NoteBox(record=_FIRST)], [_FIRST]),
-            ("restarted", [NoteBox(record=_FIRST), NoteBox(record=_SECOND)], [_SECOND_AFTER_FIRST]),
+        cases: list[tuple[str, list[UpdateBox | RemoveBox], list[BoxRecord]]] = [
+            ("new box", [UpdateBox(record=_FIRST)], [_FIRST]),
+            (
+                "restarted",
+                [UpdateBox(record=_FIRST), UpdateBox(record=_SECOND)],
+                [_SECOND_AFTER_FIRST],
+            ),
             (
                 "delayed report of the earlier incarnation",
-                [NoteBox(record=_SECOND), NoteBox(record=_FIRST)],
+                [UpdateBox(record=_SECOND), UpdateBox(record=_FIRST)],
                 [_SECOND],
             ),
-            ("repeated report", [NoteBox(record=_REPORTED), NoteBox(record=_REPORTED)], [_FIRST]),
-            ("leaving", [NoteBox(record=_FIRST), NoteBox(record=_LEAVING)], [_LEAVING]),
+            (
+                "repeated report",
+                [UpdateBox(record=_REPORTED), UpdateBox(record=_REPORTED)],
+                [_FIRST],
+            ),
+            ("leaving", [UpdateBox(record=_FIRST), UpdateBox(record=_LEAVING)], [_LEAVING]),
             (
                 "delayed report from before draining",
-                [NoteBox(record=_LEAVING), NoteBox(record=_FIRST)],
+                [UpdateBox(record=_LEAVING), UpdateBox(record=_FIRST)],
                 [_LEAVING],
             ),
-            ("silent", [NoteBox(record=_FIRST), _lose(_FIRST)], []),
+            ("silent", [UpdateBox(record=_FIRST), _lose(_FIRST)], []),
             (
                 "silent at a control replica that it left",
-                [NoteBox(record=_FIRST), NoteBox(record=_MOVED), _lose(_FIRST)],
+                [UpdateBox(record=_FIRST), UpdateBox(record=_MOVED), _lose(_FIRST)],
                 [_MOVED],
             ),
             (
                 "the earlier incarnation fell silent",
-                [NoteBox(record=_FIRST), NoteBox(record=_SECOND), _lose(_FIRST)],
+                [UpdateBox(record=_FIRST), UpdateBox(record=_SECOND), _lose(_FIRST)],
                 [_SECOND_AFTER_FIRST],
             ),
         ]
@@ -59,10 +67,10 @@
             with self.subTest(name):
                 membership = Membership()
                 for command in commands:
-                    if isinstance(command, NoteBox):
-                        membership.note(command)
+                    if isinstance(command, UpdateBox):
+                        membership.update(command)
                     else:
-                        membership.lose(command)
+                        membership.remove(command)
                 self.assertEqual(list(membership.records()), expected)
 
 
--- a/packages/damsonlaned/src/damsonlaned/control/_membership.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_membership.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 from damsonlane.errors import UnavailableError
-from damsonlane.membership import BoxRecord, LoseBox, NoteBox
+from damsonlane.membership import BoxRecord, RemoveBox, UpdateBox
 from damsonlane_rpc import ControlClient, WatchReport
 from damsonlaned.control._node import ControlNode
 from damsonlaned.tasks import start_task
@@ -51,32 +51,32 @@
                 with contextlib.suppress(UnavailableError):
                     await self._client.submit(commands, _COMMIT_TIMEOUT_SECONDS)
 
-    def _list_own_changes(self) -> list[NoteBox | LoseBox]:
+    def _list_own_changes(self) -> list[UpdateBox | RemoveBox]:
         """Return the differences between the list and the reports received here."""
-        commands: list[NoteBox | LoseBox] = []
+        commands: list[UpdateBox | RemoveBox] = []
         for received in self._node.watchers.list_reports(self._node.now()):
             report = received.report
             known = self._node.state.membership.record_of(report.box)
             if received.at >= BOX_TIMEOUT_SECONDS:
                 self._node.watchers.forget(report.box)
                 commands.append(
-                    LoseBox(
+                    RemoveBox(
                         box=report.box,
                         incarnation=report.incarnation,
                         via=self._node.identity.replica,
                     )
                 )
-            elif known is None or not known.says_as(self._make_record(report)):
-                commands.append(NoteBox(record=self._make_record(report)))
+            elif known is None or not known.is_same_report(self._make_record(report)):
+                commands.append(UpdateBox(record=self._make_record(report)))
         return commands
 
-    def _list_removals_by_replica(self) -> list[NoteBox | LoseBox]:
+    def _list_removals_by_replica(self) -> list[UpdateBox | RemoveBox]:
         """Return the removals of boxes that report to a silent replica, if this one leads."""
         replica = self._node.replica
         if replica is None or not replica.is_leader:
             return []
         return [
-            LoseBox(box=record.box, incarnation=record.incarnation, via=record.via)
+            RemoveBox(box=record.box, incarnation=record.incarnation, via=record.via)
             for record in self._node.state.membership.records()
             if replica.seconds_since_reply(record.via) > REPLICA_TIMEOUT_SECONDS
         ]
--- a/packages/damsonlaned/src/damsonlaned/control/_node.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_node.py
@@ -323,7 +323,7 @@
         state = self.state
         return (
             state.settings.version,
-            state.membership.live(),
+            state.membership.count_live(),
             state.documents.document.version,
             state.targets.revision,
             state.evacuations.revision,
--- a/packages/damsonlaned/src/damsonlaned/control/_service.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_service.py
@@ -176,9 +176,11 @@
             state = self._node.state
             quarantine = state.quarantine.list_for_entries()
             limits = state.rate_limits.list_all()
-            is_same = state.settings.version <= version and state.membership.live() == live_count
+            is_same = (
+                state.settings.version <= version and state.membership.count_live() == live_count
+            )
             if not is_same or (quarantine.revision, limits.revision) != revisions:
-                live_count = state.membership.live()
+                live_count = state.membership.count_live()
                 revisions = (quarantine.revision, limits.revision)
                 update = _make_update(self._node, version)
                 update = replace(update, quarantine=quarantine, rate_limits=limits)
@@ -191,7 +193,7 @@
         return WatchUpdate(
             version=version,
             is_current=self._node.is_current(),
-            live_entries=self._node.state.membership.live(),
+            live_entries=self._node.state.membership.count_live(),
             peers=_sample_peers(self._node),
         )
 
@@ -327,7 +329,7 @@
         changes=changes or (),
         document=document,
         is_current=node.is_current(),
-        live_entries=node.state.membership.live(),
+        live_entries=node.state.membership.count_live(),
         peers=_sample_peers(node),
     )
 
