--- a/packages/damsonlane/src/damsonlane/cluster/__init__.py
+++ b/packages/damsonlane/src/damsonlane/cluster/__init__.py
@@ -9,7 +9,7 @@
     ChangeSettings,
 )
 from damsonlane.cluster._document_store import (
-    DocumentNoted,
+    DocumentRecorded,
     DocumentStore,
     PackedDocument,
     ReplaceDocument,
@@ -38,7 +38,7 @@
     "ClusterSnapshot",
     "ClusterState",
     "Command",
-    "DocumentNoted",
+    "DocumentRecorded",
     "DocumentStore",
     "PackedDocument",
     "ReplaceDocument",
--- a/packages/damsonlane/src/damsonlane/cluster/_document_store.py
+++ b/packages/damsonlane/src/damsonlane/cluster/_document_store.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class DocumentNoted:
+class DocumentRecorded:
     """Reply to `ReplaceDocument`: the document counts as accepted."""
 
     kind: Literal["document-noted"] = "document-noted"
@@ -62,9 +62,9 @@
     def __init__(self, document: PackedDocument | None = None) -> None:
         self.document = document or PackedDocument()
 
-    def replace(self, command: ReplaceDocument) -> DocumentNoted:
+    def replace(self, command: ReplaceDocument) -> DocumentRecorded:
         """Apply one command."""
         is_newer = command.document.version > self.document.version
         if is_newer:
             self.document = command.document
-        return DocumentNoted(version=self.document.version, is_changed=is_newer)
+        return DocumentRecorded(version=self.document.version, is_changed=is_newer)
--- a/packages/damsonlane/src/damsonlane/cluster/_settings_store.py
+++ b/packages/damsonlane/src/damsonlane/cluster/_settings_store.py
@@ -79,7 +79,7 @@
             del self._replies[next(iter(self._replies))]
         return reply
 
-    def answer_to(self, change: str) -> ChangeReply | None:
+    def find_answer(self, change: str) -> ChangeReply | None:
         """Return the stored reply to a change id, or None."""
         return self._replies.get(change)
 
--- a/packages/damsonlane/src/damsonlane/cluster/_state.py
+++ b/packages/damsonlane/src/damsonlane/cluster/_state.py
@@ -13,7 +13,7 @@
     ChangeSettings,
 )
 from damsonlane.cluster._document_store import (
-    DocumentNoted,
+    DocumentRecorded,
     DocumentStore,
     PackedDocument,
     ReplaceDocument,
@@ -92,7 +92,7 @@
     | JobReply
     | CostsRecorded
     | BoxUpdated
-    | DocumentNoted
+    | DocumentRecorded
     | TargetRecorded
     | EvacuationRecorded
     | QuarantineRecorded
--- a/packages/damsonlaned/src/damsonlaned/control/_registry.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_registry.py
@@ -10,7 +10,7 @@
 from grpclib.const import Handler
 from grpclib.server import Stream
 
-from damsonlane.cluster import Command, DocumentNoted, PackedDocument, ReplaceDocument
+from damsonlane.cluster import Command, DocumentRecorded, PackedDocument, ReplaceDocument
 from damsonlane.errors import SettingsError, UnavailableError
 from damsonlane.evacuation import EvacuateDataCentre, EvacuationRecorded, RestoreDataCentre
 from damsonlane.quarantine import EXIT_WINDOW_SECONDS, ForgetTargetExits
@@ -244,7 +244,7 @@
         if document.version > in_force:
             packed = PackedDocument.pack(document.version, text)
             reply = await self._leader.submit(ReplaceDocument(document=packed))
-            in_force = reply.version if isinstance(reply, DocumentNoted) else in_force
+            in_force = reply.version if isinstance(reply, DocumentRecorded) else in_force
         _LOG.info("document accepted", extra={"version": document.version, "in_force": in_force})
         return HttpResponse(status=200)
 
--- a/packages/damsonlaned/src/damsonlaned/control/_service.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_service.py
@@ -238,7 +238,7 @@
             case HistoryQuery(limit=limit):
                 return QueryReply(outcome=HistoryView(changes=settings.history()[-limit:]))
             case ChangeQuery(change=change):
-                return QueryReply(outcome=ChangeView(reply=settings.answer_to(change)))
+                return QueryReply(outcome=ChangeView(reply=settings.find_answer(change)))
             case BoxesQuery():
                 return QueryReply(outcome=BoxesView(boxes=state.membership.records()))
             case EvacuationsQuery():
