--- a/packages/damsonlane/src/damsonlane/cluster/_settings_store.py
+++ b/packages/damsonlane/src/damsonlane/cluster/_settings_store.py
@@ -15,7 +15,7 @@
     ChangeSettings,
 )
 from damsonlane.errors import SettingsError
-from damsonlane.settings import Tree, apply_edits, check_tree
+from damsonlane.settings import SettingsTree, apply_edits, check_tree
 
 #: Maximum number of accepted changes in the history: five days at 3,600 changes a day.
 MAX_HISTORY_LENGTH: Final = 18_000
@@ -103,12 +103,12 @@
         except SettingsError as error:
             return ChangeRefused(findings=error.findings)
         checked = check_tree(document)
-        if not isinstance(checked, Tree):
+        if not isinstance(checked, SettingsTree):
             return ChangeRefused(findings=checked)
         self._accept(command, document, checked)
         return ChangeAccepted(version=self.version)
 
-    def _accept(self, command: ChangeSettings, document: JsonValue, tree: Tree) -> None:
+    def _accept(self, command: ChangeSettings, document: JsonValue, tree: SettingsTree) -> None:
         self.version += 1
         self.document = document
         self.tree = tree
@@ -123,9 +123,9 @@
         del self._history[: max(0, len(self._history) - MAX_HISTORY_LENGTH)]
 
 
-def _require_tree(document: JsonValue) -> Tree:
+def _require_tree(document: JsonValue) -> SettingsTree:
     checked = check_tree(document)
-    if isinstance(checked, Tree):
+    if isinstance(checked, SettingsTree):
         return checked
     raise SettingsError(checked)
 
--- a/packages/damsonlane/src/damsonlane/settings/_box.py
+++ b/packages/damsonlane/src/damsonlane/settings/_box.py
@@ -10,7 +10,7 @@
 from damsonlane.findings import Finding, Place
 from damsonlane.settings._text import Document
 from damsonlane.settings._tree import Address, Name
-from damsonlane.settings._validation import CLOSED, check_value, locate
+from damsonlane.settings._validation import FORBID_UNKNOWN_KEYS, check_value, locate
 
 #: Role of a process.
 Role = Literal["entry", "control"]
@@ -20,7 +20,7 @@
 class TlsFiles:
     """Key and certificate files for TLS between boxes."""
 
-    __pydantic_config__ = CLOSED
+    __pydantic_config__ = FORBID_UNKNOWN_KEYS
 
     #: Certificate of this box, PEM.
     certificate: str
@@ -34,7 +34,7 @@
 class PlatformList:
     """Source of the platform's list of live and draining boxes."""
 
-    __pydantic_config__ = CLOSED
+    __pydantic_config__ = FORBID_UNKNOWN_KEYS
 
     #: How the list is read.
     kind: Literal["file", "http"]
@@ -46,7 +46,7 @@
 class Founding:
     """Founding and repair of the control group without an operator."""
 
-    __pydantic_config__ = CLOSED
+    __pydantic_config__ = FORBID_UNKNOWN_KEYS
 
     #: Internal addresses of the boxes that found the group and that later boxes ask to join.
     seeds: Annotated[tuple[Address, ...], Field(min_length=1)]
@@ -65,7 +65,7 @@
 class Gateway:
     """Settings for an entry that serves routes, and for control that informs such entries."""
 
-    __pydantic_config__ = CLOSED
+    __pydantic_config__ = FORBID_UNKNOWN_KEYS
 
     #: Name of the dialect that callers, targets and operators speak.
     dialect: Name
@@ -97,7 +97,7 @@
 class BoxSettings:
     """Settings that a process reads at its start."""
 
-    __pydantic_config__ = CLOSED
+    __pydantic_config__ = FORBID_UNKNOWN_KEYS
 
     #: Name of the box, unique in the system.
     name: Name
--- a/packages/damsonlane/src/damsonlane/settings/_policy.py
+++ b/packages/damsonlane/src/damsonlane/settings/_policy.py
@@ -8,7 +8,7 @@
 
 from pydantic import Field
 
-from damsonlane.settings._validation import CLOSED
+from damsonlane.settings._validation import FORBID_UNKNOWN_KEYS
 
 
 class Inherit(Enum):
@@ -28,7 +28,7 @@
 class Policy:
     """Policy values set at one level of the settings tree; the others are inherited."""
 
-    __pydantic_config__ = CLOSED
+    __pydantic_config__ = FORBID_UNKNOWN_KEYS
 
     #: Maximum duration of a request, in seconds.
     deadline_seconds: Annotated[float, Field(gt=0, le=3600)] | Inherit = INHERIT
--- a/packages/damsonlane/src/damsonlane/settings/_tree.py
+++ b/packages/damsonlane/src/damsonlane/settings/_tree.py
@@ -21,7 +21,7 @@
     resolve_policy,
 )
 from damsonlane.settings._text import Document
-from damsonlane.settings._validation import CLOSED, check_value, locate
+from damsonlane.settings._validation import FORBID_UNKNOWN_KEYS, check_value, locate
 
 Name = Annotated[str, Field(pattern=r"^[a-z0-9][a-z0-9._-]{0,62}$")]
 Address = Annotated[str, Field(pattern=r"^(\d{1,3}(\.\d{1,3}){3}|\[[0-9a-f:]+\]):\d{1,5}$")]
@@ -37,7 +37,7 @@
 class Target:
     """A back end of a service."""
 
-    __pydantic_config__ = CLOSED
+    __pydantic_config__ = FORBID_UNKNOWN_KEYS
 
     #: IP address and port.
     address: Address
@@ -49,7 +49,7 @@
 class Service:
     """A set of interchangeable targets."""
 
-    __pydantic_config__ = CLOSED
+    __pydantic_config__ = FORBID_UNKNOWN_KEYS
 
     #: Kind of its targets.
     kind: TargetKind
@@ -65,7 +65,7 @@
 class Stage:
     """One step of a pipeline."""
 
-    __pydantic_config__ = CLOSED
+    __pydantic_config__ = FORBID_UNKNOWN_KEYS
 
     #: Name of the stage, unique in its pipeline.
     name: Name
@@ -77,7 +77,7 @@
 class Pipeline:
     """A sequence of stages that a request runs through."""
 
-    __pydantic_config__ = CLOSED
+    __pydantic_config__ = FORBID_UNKNOWN_KEYS
 
     #: The stages in order.
     stages: Annotated[tuple[Stage, ...], Field(min_length=1, max_length=12)]
@@ -91,7 +91,7 @@
 class Organisation:
     """A customer, whose data is kept apart from that of others."""
 
-    __pydantic_config__ = CLOSED
+    __pydantic_config__ = FORBID_UNKNOWN_KEYS
 
     #: SHA-256 digests of its callers' bearer tokens.
     token_digests: tuple[Digest, ...] = ()
@@ -105,7 +105,7 @@
 class DataCentre:
     """A data centre."""
 
-    __pydantic_config__ = CLOSED
+    __pydantic_config__ = FORBID_UNKNOWN_KEYS
 
     #: Policy of entries in this data centre.
     policy: Policy = field(default_factory=Policy)
@@ -115,7 +115,7 @@
 class Event:
     """A burst of requests with a scheduled start."""
 
-    __pydantic_config__ = CLOSED
+    __pydantic_config__ = FORBID_UNKNOWN_KEYS
 
     #: Start of the burst, with its UTC offset.
     starts_at: AwareDatetime
@@ -133,7 +133,7 @@
 class Operator:
     """A person who may use the operator's command."""
 
-    __pydantic_config__ = CLOSED
+    __pydantic_config__ = FORBID_UNKNOWN_KEYS
 
     #: SHA-256 digest of the operator's token.
     token_digest: Digest
@@ -142,10 +142,10 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Tree:
+class SettingsTree:
     """The whole settings tree."""
 
-    __pydantic_config__ = CLOSED
+    __pydantic_config__ = FORBID_UNKNOWN_KEYS
 
     #: Policy at the root.
     policy: Policy = field(default_factory=Policy)
@@ -205,42 +205,42 @@
         return min(ends, default=None)
 
 
-_ADAPTER: Final = TypeAdapter(Tree)
+_ADAPTER: Final = TypeAdapter(SettingsTree)
 
 
-def check_tree(value: JsonValue) -> Tree | tuple[Finding, ...]:
+def check_tree(value: JsonValue) -> SettingsTree | tuple[Finding, ...]:
     """Check a whole tree, including the references between its parts.
 
     Returns:
         The tree, or all findings with their paths.
     """
-    checked = check_value(value, _ADAPTER, Tree)
-    if not isinstance(checked, Tree):
+    checked = check_value(value, _ADAPTER, SettingsTree)
+    if not isinstance(checked, SettingsTree):
         return checked
     findings = tuple(_check_references(checked))
     return findings or checked
 
 
-def read_tree(document: Document) -> Tree:
+def read_tree(document: Document) -> SettingsTree:
     """Read a document as a settings tree.
 
     Raises:
         SettingsError: the tree is invalid; carries all findings with line, column and path.
     """
     checked = check_tree(document.value)
-    if isinstance(checked, Tree):
+    if isinstance(checked, SettingsTree):
         return checked
     raise SettingsError(locate(checked, document))
 
 
-def _check_references(tree: Tree) -> Iterator[Finding]:
+def _check_references(tree: SettingsTree) -> Iterator[Finding]:
     yield from _check_services(tree)
     yield from _check_organisations(tree)
     yield from _check_events(tree)
     yield from _check_routing(tree)
 
 
-def _check_services(tree: Tree) -> Iterator[Finding]:
+def _check_services(tree: SettingsTree) -> Iterator[Finding]:
     for name, service in tree.services.items():
         if service.kind == "engine" and not service.model:
             yield _finding(f"/services/{name}", "an engine service must name its model")
@@ -253,7 +253,7 @@
                 yield _finding(f"{path}/address", f"'{target.address}' is no address and port")
 
 
-def _check_organisations(tree: Tree) -> Iterator[Finding]:
+def _check_organisations(tree: SettingsTree) -> Iterator[Finding]:
     owners: dict[str, str] = {}
     for name, organisation in tree.organisations.items():
         for position, digest in enumerate(organisation.token_digests):
@@ -266,7 +266,7 @@
             yield from _check_stages(tree, path, pipeline)
 
 
-def _check_stages(tree: Tree, path: str, pipeline: Pipeline) -> Iterator[Finding]:
+def _check_stages(tree: SettingsTree, path: str, pipeline: Pipeline) -> Iterator[Finding]:
     seen: set[str] = set()
     for position, stage in enumerate(pipeline.stages):
         if stage.service not in tree.services:
@@ -277,7 +277,7 @@
         seen.add(stage.name)
 
 
-def _check_events(tree: Tree) -> Iterator[Finding]:
+def _check_events(tree: SettingsTree) -> Iterator[Finding]:
     for name, event in tree.events.items():
         for position, pipeline in enumerate(event.pipelines):
             owner, _, inner = pipeline.partition("/")
@@ -287,7 +287,7 @@
                 yield _finding(f"/events/{name}/pipelines/{position}", message)
 
 
-def _check_routing(tree: Tree) -> Iterator[Finding]:
+def _check_routing(tree: SettingsTree) -> Iterator[Finding]:
     for level in _all_levels(tree):
         routing = level.policy.routing
         if routing is not INHERIT and routing not in POLICIES:
@@ -295,7 +295,7 @@
             yield _finding(f"{level.path}/routing", f"no policy '{routing}'; known are {known}")
 
 
-def _all_levels(tree: Tree) -> Iterator[Level]:
+def _all_levels(tree: SettingsTree) -> Iterator[Level]:
     yield Level(path="/policy", policy=tree.policy)
     for name, data_centre in tree.data_centres.items():
         yield Level(path=f"/data_centres/{name}/policy", policy=data_centre.policy)
--- a/packages/damsonlane/src/damsonlane/settings/_validation.py
+++ b/packages/damsonlane/src/damsonlane/settings/_validation.py
@@ -14,7 +14,7 @@
 Checked = TypeVar("Checked")
 
 #: Pydantic configuration of every settings class: unknown keys are rejected.
-CLOSED: Final = ConfigDict(extra="forbid")
+FORBID_UNKNOWN_KEYS: Final = ConfigDict(extra="forbid")
 
 _UNKNOWN_KEYS: Final = frozenset({"unexpected_keyword_argument", "extra_forbidden"})
 
--- a/packages/damsonlane/src/damsonlane/settings/checks.py
+++ b/packages/damsonlane/src/damsonlane/settings/checks.py
@@ -1,5 +1,5 @@
 """Validation functions for settings documents defined in other packages."""
 
-from damsonlane.settings._validation import CLOSED, check_value, locate
+from damsonlane.settings._validation import FORBID_UNKNOWN_KEYS, check_value, locate
 
-__all__ = ["CLOSED", "check_value", "locate"]
+__all__ = ["FORBID_UNKNOWN_KEYS", "check_value", "locate"]
--- a/packages/damsonlane/src/damsonlane/settings/tests/test_settings.py
+++ b/packages/damsonlane/src/damsonlane/settings/tests/test_settings.py
@@ -10,7 +10,7 @@
 from damsonlane.settings import (
     Edit,
     Origin,
-    Tree,
+    SettingsTree,
     apply_edits,
     check_tree,
     read_box_settings,
@@ -58,7 +58,7 @@
     return []
 
 
-def _tree() -> Tree:
+def _tree() -> SettingsTree:
     return read_tree(read_document(_TREE))
 
 
@@ -190,7 +190,7 @@
 
     def test_an_empty_tree_is_valid(self) -> None:
         empty: Any = check_tree({})
-        self.assertEqual(empty, Tree())
+        self.assertEqual(empty, SettingsTree())
 
 
 if __name__ == "__main__":
--- a/packages/damsonlane_cli/src/damsonlane_cli/_context.py
+++ b/packages/damsonlane_cli/src/damsonlane_cli/_context.py
@@ -15,7 +15,7 @@
 from damsonlane.errors import DamsonlaneError, SettingsError
 from damsonlane.findings import Finding, Place
 from damsonlane.settings import Document, TlsFiles, read_document
-from damsonlane.settings.checks import CLOSED, check_value, locate
+from damsonlane.settings.checks import FORBID_UNKNOWN_KEYS, check_value, locate
 from damsonlane_rpc import CALL_ERRORS, ControlClient, make_client_context
 
 #: Exit codes, as docs/operations.md lists them.
@@ -41,7 +41,7 @@
 class OperatorSettings:
     """The settings of the operator's command."""
 
-    __pydantic_config__ = CLOSED
+    __pydantic_config__ = FORBID_UNKNOWN_KEYS
 
     #: Internal addresses of the control replicas.
     control: Annotated[tuple[str, ...], Field(min_length=1)]
--- a/packages/damsonlane_cli/src/damsonlane_cli/_reports.py
+++ b/packages/damsonlane_cli/src/damsonlane_cli/_reports.py
@@ -17,7 +17,7 @@
     list_windows,
     measure_burn,
 )
-from damsonlane.settings import Tree, check_tree
+from damsonlane.settings import SettingsTree, check_tree
 from damsonlane_cli._bound import report_bound
 from damsonlane_cli._context import EXIT_INPUT, call_control, fail, print_rows
 from damsonlane_cli._losses import report_losses
@@ -98,7 +98,7 @@
             Path(plot).write_bytes(draw_attainment(view.endings, time.time()))
 
 
-def _measure_burns(endings: Sequence[CompletionCount], tree: Tree) -> list[Burn]:
+def _measure_burns(endings: Sequence[CompletionCount], tree: SettingsTree) -> list[Burn]:
     burns: list[Burn] = []
     for organisation, settings in tree.organisations.items():
         for pipeline in settings.pipelines:
@@ -109,7 +109,7 @@
     return burns
 
 
-def _list_all_windows(tree: Tree, pipeline: str) -> list[Window]:
+def _list_all_windows(tree: SettingsTree, pipeline: str) -> list[Window]:
     """Return the standard windows and one for each event of the pipeline."""
     events = [
         Window(name=f"event {name}", start=event.starts_at.timestamp(), end=event.ends_at())
@@ -161,10 +161,10 @@
     return 100.0 * count.attained / count.total if count else None
 
 
-def _read_tree() -> Tree:
+def _read_tree() -> SettingsTree:
     view = call_control(lambda client, _: _query_settings(client))
     tree = check_tree(view.document)
-    if isinstance(tree, Tree):
+    if isinstance(tree, SettingsTree):
         return tree
     return fail(tree[0].render(), EXIT_INPUT)
 
--- a/packages/damsonlane_cli/src/damsonlane_cli/_settings.py
+++ b/packages/damsonlane_cli/src/damsonlane_cli/_settings.py
@@ -19,7 +19,7 @@
     ChangeSettings,
 )
 from damsonlane.errors import SettingsError, UnavailableError
-from damsonlane.settings import Edit, Tree, check_tree, read_document, read_tree
+from damsonlane.settings import Edit, SettingsTree, check_tree, read_document, read_tree
 from damsonlane_cli._context import (
     EXIT_CONFLICT,
     EXIT_INPUT,
@@ -136,7 +136,7 @@
     ) -> None:
         """Show the effective values of a pipeline and where each is set."""
         tree = check_tree(_read_current().document)
-        if not isinstance(tree, Tree):
+        if not isinstance(tree, SettingsTree):
             fail(tree[0].render(), EXIT_INPUT)
         settings = tree.organisations.get(organisation)
         if settings is None or pipeline not in settings.pipelines:
--- a/packages/damsonlaned/src/damsonlaned/entry/_request_parser.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_request_parser.py
@@ -14,7 +14,7 @@
 from damsonlane.admission import AdmissionRequest
 from damsonlane.ledger import JobKey
 from damsonlane.requests import ExecutionState, Request, ResolvedStage
-from damsonlane.settings import EffectivePolicy, Pipeline, Tree
+from damsonlane.settings import EffectivePolicy, Pipeline, SettingsTree
 from damsonlaned.entry._problems import Problem
 from damsonlaned.entry._settings_view import SettingsInForce
 
@@ -141,7 +141,9 @@
     return organisation
 
 
-def _find_pipeline(environment: Environment, tree: Tree, organisation: str) -> tuple[str, Pipeline]:
+def _find_pipeline(
+    environment: Environment, tree: SettingsTree, organisation: str
+) -> tuple[str, Pipeline]:
     name = str(environment["PATH_INFO"]).removeprefix(PIPELINE_PATH_PREFIX)
     pipeline = tree.organisations[organisation].pipelines.get(name)
     if pipeline is None:
@@ -190,7 +192,7 @@
 
 def _find_deadline(
     environment: Environment,
-    tree: Tree,
+    tree: SettingsTree,
     organisation: str,
     name: str,
     policy: EffectivePolicy,
@@ -212,7 +214,7 @@
 
 
 def _resolve_stages(
-    tree: Tree, data_centre: str, organisation: str, name: str
+    tree: SettingsTree, data_centre: str, organisation: str, name: str
 ) -> tuple[ResolvedStage, ...]:
     resolved = []
     for stage in tree.organisations[organisation].pipelines[name].stages:
--- a/packages/damsonlaned/src/damsonlaned/entry/_settings_view.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_settings_view.py
@@ -8,7 +8,7 @@
 
 from damsonlane.cluster import AcceptedChange, merge_changes
 from damsonlane.errors import NotUnderstoodError
-from damsonlane.settings import Tree, check_tree
+from damsonlane.settings import SettingsTree, check_tree
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -20,7 +20,7 @@
     #: The tree as written.
     document: JsonValue = field(default_factory=dict)
     #: The tree, checked.
-    tree: Tree = field(default_factory=Tree)
+    tree: SettingsTree = field(default_factory=SettingsTree)
     #: Organisation of each token digest.
     owners: Mapping[str, str] = field(default_factory=dict)
 
@@ -67,7 +67,7 @@
 
 def _index(version: int, document: JsonValue) -> SettingsInForce:
     tree = check_tree(document)
-    if not isinstance(tree, Tree):
+    if not isinstance(tree, SettingsTree):
         raise NotUnderstoodError(
             f"version {version} of the settings is not understood; this process is older than "
             f"control and needs an upgrade: {tree[0].render()}"
--- a/packages/damsonlaned/src/damsonlaned/entry/tests/test_backoff.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/tests/test_backoff.py
@@ -13,7 +13,7 @@
 from pydantic import JsonValue
 
 from damsonlane.requests import AttemptKey, AttemptResult, Request, ResolvedStage, Send
-from damsonlane.settings import Tree, check_tree
+from damsonlane.settings import SettingsTree, check_tree
 from damsonlaned.entry._dispatcher import Dispatcher
 from damsonlaned.entry._draining_targets import DrainingTargets
 from damsonlaned.entry._settings_view import SettingsInForce
@@ -85,7 +85,7 @@
             self.addCleanup(target.stop)
             definitions[name] = {"address": target.address, "data_centre": "one"}
         tree = check_tree({"services": {"encode": {"kind": "pool", "targets": definitions}}})
-        assert isinstance(tree, Tree)
+        assert isinstance(tree, SettingsTree)
         return SettingsInForce(version=1, tree=tree)
 
     def send(self, settings: SettingsInForce) -> AttemptResult:
--- a/packages/damsonlaned/src/damsonlaned/entry/tests/test_dispatcher.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/tests/test_dispatcher.py
@@ -7,7 +7,7 @@
 from pydantic import JsonValue
 
 from damsonlane.requests import AttemptKey, AttemptResult, Request, ResolvedStage, Send
-from damsonlane.settings import Tree, check_tree
+from damsonlane.settings import SettingsTree, check_tree
 from damsonlaned.entry._dispatcher import Dispatcher
 from damsonlaned.entry._draining_targets import DrainingTargets
 from damsonlaned.entry._settings_view import SettingsInForce
@@ -39,7 +39,7 @@
         for number, name in enumerate(names, start=1)
     }
     tree = check_tree({"services": {"encode": {"kind": "pool", "targets": targets}}})
-    assert isinstance(tree, Tree)
+    assert isinstance(tree, SettingsTree)
     return SettingsInForce(version=version, tree=tree)
 
 
--- a/packages/damsonlaned/src/damsonlaned/entry/tests/test_rate_limits.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/tests/test_rate_limits.py
@@ -16,7 +16,7 @@
 
 from damsonlane.ratelimit import Permit, PermitIssuer, RateLimitReport, RateLimitTable
 from damsonlane.requests import AttemptResult
-from damsonlane.settings import Tree, check_tree
+from damsonlane.settings import SettingsTree, check_tree
 from damsonlane_rpc import PermitBatchRequest
 from damsonlaned.entry._dispatcher import Dispatcher
 from damsonlaned.entry._draining_targets import DrainingTargets
@@ -96,7 +96,7 @@
             for name, target in targets.items()
         }
         tree = check_tree({"services": {"encode": {"kind": "pool", "targets": definitions}}})
-        assert isinstance(tree, Tree)
+        assert isinstance(tree, SettingsTree)
         return SettingsInForce(version=next(self.versions), tree=tree)
 
     def send_all(self, box: Dispatcher, settings: SettingsInForce) -> list[AttemptResult]:
