--- a/packages/damsonlane/src/damsonlane/consensus/_replica.py
+++ b/packages/damsonlane/src/damsonlane/consensus/_replica.py
@@ -33,7 +33,7 @@
 from damsonlane.consensus._output import Output, Persist
 from damsonlane.consensus._reads import WaitingReads
 from damsonlane.consensus._stored import PersistentState
-from damsonlane.errors import AgreementError, NotLeaderError
+from damsonlane.errors import GroupChangeError, NotLeaderError
 
 #: Heartbeats that a leader sends per election timeout.
 HEARTBEATS_PER_ELECTION: Final = 4
@@ -225,12 +225,12 @@
 
         Raises:
             NotLeaderError: this replica is not the leader.
-            AgreementError: another membership change is in progress, or it is already a member.
+            GroupChangeError: another membership change is in progress, or it is already a member.
         """
         self._now = max(self._now, now)
         self._require_change_allowed()
         if any(known.replica == member.replica for known in self.members.all_members()):
-            raise AgreementError(f"replica '{member.replica}' is a member already")
+            raise GroupChangeError(f"replica '{member.replica}' is a member already")
         self._change_members(self.members.with_learner(member))
         return self._take_output()
 
@@ -239,16 +239,16 @@
 
         Raises:
             NotLeaderError: this replica is not the leader.
-            AgreementError: another membership change is in progress, it is not a
+            GroupChangeError: another membership change is in progress, it is not a
                 member, or it is the last voter.
         """
         self._now = max(self._now, now)
         self._require_change_allowed()
         members = self.members
         if not any(known.replica == replica for known in members.all_members()):
-            raise AgreementError(f"replica '{replica}' is not a member")
+            raise GroupChangeError(f"replica '{replica}' is not a member")
         if members.is_voter(replica) and len(members.voters) == 1:
-            raise AgreementError(f"replica '{replica}' is the last voter")
+            raise GroupChangeError(f"replica '{replica}' is the last voter")
         self._change_members(members.without(replica))
         return self._take_output()
 
@@ -266,11 +266,11 @@
             The snapshot; the caller writes it to disk with the entries that follow it.
 
         Raises:
-            AgreementError: the entry is not in the log.
+            GroupChangeError: the entry is not in the log.
         """
         term = self._log.term_at(index)
         if term is None:
-            raise AgreementError(f"entry {index} is not in the log")
+            raise GroupChangeError(f"entry {index} is not in the log")
         members = self._log.members_at(index)
         snapshot = Snapshot(index=index, term=term, members=members, state=state)
         self._log.compact(snapshot)
@@ -602,7 +602,7 @@
     def _require_change_allowed(self) -> None:
         self._require_leader()
         if not self._is_change_allowed():
-            raise AgreementError("another change of the group is under way; try again shortly")
+            raise GroupChangeError("another change of the group is under way; try again shortly")
 
     def _is_change_allowed(self) -> bool:
         has_own_entry = self._log.term_at(self.commit) == self.term
--- a/packages/damsonlane/src/damsonlane/consensus/tests/group.py
+++ b/packages/damsonlane/src/damsonlane/consensus/tests/group.py
@@ -30,7 +30,7 @@
     Snapshot,
 )
 from damsonlane.consensus._followers import find_majority
-from damsonlane.errors import AgreementError, NotLeaderError
+from damsonlane.errors import GroupChangeError, NotLeaderError
 from damsonlane.settings import Edit
 
 ELECTION_SECONDS = 1.0
@@ -344,7 +344,7 @@
             return False
         try:
             output = step(replica, box.clock)
-        except (NotLeaderError, AgreementError):
+        except (NotLeaderError, GroupChangeError):
             return False
         box.carry_out(replica, output)
         return True
--- a/packages/damsonlane/src/damsonlane/errors.py
+++ b/packages/damsonlane/src/damsonlane/errors.py
@@ -58,9 +58,9 @@
         super().__init__(f"not the leader; ask {leader or 'another control replica'}")
 
 
-class NotUnderstoodError(UnavailableError):
+class UnsupportedSettingsError(UnavailableError):
     """Control accepted settings that this process cannot read, since its version is older."""
 
 
-class AgreementError(DamsonlaneError):
+class GroupChangeError(DamsonlaneError):
     """A change of the control group is not allowed at the moment."""
--- a/packages/damsonlaned/src/damsonlaned/control/_group_manager.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_group_manager.py
@@ -21,7 +21,7 @@
     find_member_to_remove,
     may_bootstrap_group,
 )
-from damsonlane.errors import AgreementError, NotLeaderError, StorageError, UnavailableError
+from damsonlane.errors import GroupChangeError, NotLeaderError, StorageError, UnavailableError
 from damsonlane.settings import Founding
 from damsonlane_rpc import (
     CALL_ERRORS,
@@ -121,7 +121,7 @@
         while True:
             try:
                 await self._check_group()
-            except (AgreementError, StorageError) as error:
+            except (GroupChangeError, StorageError) as error:
                 _LOG.warning("group change failed", extra={"fault": str(error)})
             await asyncio.sleep(CHECK_INTERVAL_SECONDS * random.uniform(0.8, 1.2))
 
@@ -270,5 +270,5 @@
             else:
                 self._node.add(replica, change.member.address)
                 _LOG.info("replica admitted", extra={"replica": replica})
-        except (AgreementError, NotLeaderError) as error:
+        except (GroupChangeError, NotLeaderError) as error:
             _LOG.debug("group change postponed", extra={"replica": replica, "why": str(error)})
--- a/packages/damsonlaned/src/damsonlaned/control/_node.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_node.py
@@ -26,8 +26,8 @@
     Snapshot,
 )
 from damsonlane.errors import (
-    AgreementError,
     CorruptionError,
+    GroupChangeError,
     NotLeaderError,
     StorageError,
     UnavailableError,
@@ -189,10 +189,10 @@
         """Found a control group with this box as its only member.
 
         Raises:
-            AgreementError: the box already belongs to a group.
+            GroupChangeError: the box already belongs to a group.
         """
         if self.identity.cluster:
-            raise AgreementError(f"this box belongs to the group {self.identity.cluster} already")
+            raise GroupChangeError(f"this box belongs to the group {self.identity.cluster} already")
         member = Member(replica=self.identity.replica, address=self.settings.internal_address)
         snapshot = Snapshot(index=1, term=1, members=Members(voters=(member,)), state="")
         stored = PersistentState(hard_state=HardState(term=1), snapshot=snapshot)
@@ -205,7 +205,7 @@
 
         Raises:
             NotLeaderError: this replica is not the leader.
-            AgreementError: the group doesn't allow the change now.
+            GroupChangeError: the group doesn't allow the change now.
         """
         member = Member(replica=replica, address=address)
         own_replica = self._require_replica()
@@ -219,7 +219,7 @@
 
         Raises:
             NotLeaderError: this replica is not the leader.
-            AgreementError: the group doesn't allow the change now.
+            GroupChangeError: the group doesn't allow the change now.
         """
         own_replica = self._require_replica()
         self._process_output(own_replica.remove(self.now(), replica))
--- a/packages/damsonlaned/src/damsonlaned/control/_service.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_service.py
@@ -15,7 +15,7 @@
 
 from damsonlane.cluster import ChangeSettings, Command
 from damsonlane.consensus import Envelope, Members
-from damsonlane.errors import AgreementError, NotLeaderError, UnavailableError
+from damsonlane.errors import GroupChangeError, NotLeaderError, UnavailableError
 from damsonlane.evacuation import EvacuateDataCentre, RestoreDataCentre
 from damsonlane.quarantine import RecordTargetExit, ReleaseRequest
 from damsonlane.settings import Operator
@@ -131,7 +131,7 @@
         try:
             self._node.found_group()
             reply = GroupReply(outcome=Done())
-        except AgreementError as error:
+        except GroupChangeError as error:
             reply = GroupReply(outcome=GroupChangeDenied(detail=str(error)))
         await stream.send_message(reply)
 
@@ -269,7 +269,7 @@
                 self._node.remove(request.replica)
         except NotLeaderError as error:
             return GroupReply(outcome=NotLeader(leader=error.leader))
-        except AgreementError as error:
+        except GroupChangeError as error:
             return GroupReply(outcome=GroupChangeDenied(detail=str(error)))
         return GroupReply(outcome=Done())
 
--- a/packages/damsonlaned/src/damsonlaned/control/tests/test_group.py
+++ b/packages/damsonlaned/src/damsonlaned/control/tests/test_group.py
@@ -7,7 +7,7 @@
 
 from damsonlane.cluster import PackedDocument, ReplaceDocument
 from damsonlane.consensus import JoinCandidate, Replica
-from damsonlane.errors import AgreementError, UnavailableError
+from damsonlane.errors import GroupChangeError, UnavailableError
 from damsonlane.evacuation import EvacuateDataCentre, EvacuationRecorded
 from damsonlane_rpc import (
     NotAMember,
@@ -64,7 +64,7 @@
         await self.wait(box.is_leader, "no box leads")
         for _ in range(2):
             box.node.add("another", "127.0.0.1:1")
-        with self.assertRaises(AgreementError):
+        with self.assertRaises(GroupChangeError):
             box.node.add("another", "127.0.0.1:2")
 
     async def test_an_empty_box_never_founds_a_second_group(self) -> None:
--- a/packages/damsonlaned/src/damsonlaned/entry/_settings_view.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_settings_view.py
@@ -7,7 +7,7 @@
 from pydantic import JsonValue
 
 from damsonlane.cluster import AcceptedChange, merge_changes
-from damsonlane.errors import NotUnderstoodError
+from damsonlane.errors import UnsupportedSettingsError
 from damsonlane.settings import SettingsTree, check_tree
 
 
@@ -68,7 +68,7 @@
 def _index(version: int, document: JsonValue) -> SettingsInForce:
     tree = check_tree(document)
     if not isinstance(tree, SettingsTree):
-        raise NotUnderstoodError(
+        raise UnsupportedSettingsError(
             f"version {version} of the settings is not understood; this process is older than "
             f"control and needs an upgrade: {tree[0].render()}"
         )
--- a/packages/damsonlaned/src/damsonlaned/entry/tests/test_settings_view.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/tests/test_settings_view.py
@@ -3,7 +3,7 @@
 import unittest
 
 from damsonlane.cluster import AcceptedChange
-from damsonlane.errors import NotUnderstoodError
+from damsonlane.errors import UnsupportedSettingsError
 from damsonlane.settings import Edit
 from damsonlaned.entry._settings_view import SettingsView
 
@@ -33,7 +33,7 @@
         self.assertEqual(self.view.current.version, 5)
 
     def test_invalid_settings_leave_the_old_ones_in_force(self) -> None:
-        with self.assertRaises(NotUnderstoodError):
+        with self.assertRaises(UnsupportedSettingsError):
             self.view.merge((_change(6, "heavy"),))
         self.assertEqual(self.view.current.version, 5)
 
