--- a/packages/damsonlane_bench/src/damsonlane_bench/load/_plan.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/load/_plan.py
@@ -22,7 +22,7 @@
     #: Milliseconds that the caller gives it.
     deadline_ms: int
     #: Whether it must run at most once.
-    is_at_most_once: bool = False
+    is_marked: bool = False
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/packages/damsonlane_bench/src/damsonlane_bench/load/_sender.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/load/_sender.py
@@ -86,7 +86,7 @@
     pool: urllib3.PoolManager, entry: str, arrival: Arrival, start: float, run: str
 ) -> Outcome:
     wanted = arrival.request_class
-    key = f"{run}-{arrival.number}" if wanted.is_at_most_once else ""
+    key = f"{run}-{arrival.number}" if wanted.is_marked else ""
     headers = {
         "Authorization": f"Bearer {wanted.token}",
         "Damsonlane-Deadline-Ms": str(wanted.deadline_ms),
--- a/packages/damsonlane_bench/src/damsonlane_bench/policy.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/policy.py
@@ -36,7 +36,7 @@
     RequestClass(name="lookup", share=0.45, token=_TOKENS["merchants"], pipeline="lookup",
                  length=50, deadline_ms=1000),
     RequestClass(name="confirm", share=0.05, token=_TOKENS["merchants"], pipeline="confirm",
-                 length=50, deadline_ms=2000, is_at_most_once=True),
+                 length=50, deadline_ms=2000, is_marked=True),
     RequestClass(name="statement", share=0.30, token=_TOKENS["merchants"], pipeline="statement",
                  length=400, deadline_ms=3000),
     RequestClass(name="subtitle", share=0.15, token=_TOKENS["bureau"], pipeline="subtitle",
--- a/packages/damsonlaned/src/damsonlaned/entry/tests/test_thread_safe_quarantine.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/tests/test_thread_safe_quarantine.py
@@ -19,13 +19,13 @@
         lost = LostTarget(target="desk/one", address=f"{host}:{port}", start=0)
         found = asyncio.Event()
         quarantine = mock.AsyncMock(spec=Quarantine)
-        quarantine.take_end = mock.Mock(side_effect=lambda *_: found.set())
+        quarantine.record_exit = mock.Mock(side_effect=lambda *_: found.set())
         await asyncio.to_thread(ThreadSafeQuarantine(quarantine).report_interrupted, lost, RUN)
         self.assertFalse(found.is_set())
         server.close()
         async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
             await found.wait()
-        quarantine.take_end.assert_called_once_with(lost, (RUN,))
+        quarantine.record_exit.assert_called_once_with(lost, (RUN,))
 
 
 if __name__ == "__main__":
--- a/packages/damsonlaned/src/damsonlaned/gateway/_attempts.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_attempts.py
@@ -11,10 +11,10 @@
 from damsonlane.routing import HealthSignal
 from damsonlaned.dialects import AnswerSigns, Attempt, Dialect
 from damsonlaned.gateway._call import Call
-from damsonlaned.gateway._limited_places import LimitedPlaces, NoPlace
+from damsonlaned.gateway._limited_targets import LimitedTargetSelector, NoTarget
 from damsonlaned.gateway._permit_client import PermitClient
 from damsonlaned.gateway._placement_client import PlacementClient
-from damsonlaned.gateway._targets import Chosen, Prompt, Targets
+from damsonlaned.gateway._target_selector import ChosenTarget, Prompt, TargetSelector
 from damsonlaned.http import HttpExchange, HttpHead, IncompleteResponseError
 
 _LOG: Final = logging.getLogger(__name__)
@@ -37,7 +37,7 @@
     """A request that was sent and whose response has begun."""
 
     #: The target.
-    chosen: Chosen
+    chosen: ChosenTarget
     #: The exchange, whose body is still to be read.
     exchange: HttpExchange
     #: Head of the response.
@@ -61,7 +61,7 @@
 
     def __init__(
         self,
-        targets: Targets,
+        targets: TargetSelector,
         placements: PlacementClient,
         permits: PermitClient,
         dialect: Dialect,
@@ -71,7 +71,7 @@
     ) -> None:
         self._targets: Final = targets
         self._placements: Final = placements
-        self._places: Final = LimitedPlaces(targets, permits)
+        self._places: Final = LimitedTargetSelector(targets, permits)
         self._dialect: Final = dialect
         self._share: Final = share
         self._window: Final = window
@@ -80,7 +80,7 @@
 
     async def choose(
         self, call: Call, avoid: Collection[str], places: Sequence[InputLocation] = ()
-    ) -> Chosen | NoPlace:
+    ) -> ChosenTarget | NoTarget:
         """Choose a target for a request.
 
         Args:
@@ -91,13 +91,13 @@
         placed = await self._place_prompt(call, avoid, places)
         return placed or await self._places.choose(call.service, _find_prompt(call), avoid)
 
-    async def find_begin_wait(self, call: Call) -> NoPlace | None:
+    async def find_begin_wait(self, call: Call) -> NoTarget | None:
         """Return why a request may not begin its stages yet; None if it may begin now."""
-        return await self._places.find_begin_wait(call.service)
+        return await self._places.check_admission(call.service)
 
     async def _place_prompt(
         self, call: Call, avoid: Collection[str], places: Sequence[InputLocation]
-    ) -> Chosen | None:
+    ) -> ChosenTarget | None:
         """Request the placement of a prompt; None where this entry chooses the engine itself."""
         if call.service.engine is None:
             return None
@@ -106,11 +106,11 @@
         placed = await self._placements.place(call.service.name, order)
         if placed is None or placed.target in unusable:
             return None
-        return self._targets.take_placed(call.service, placed)
+        return self._targets.choose_placed(call.service, placed)
 
     def find_return_seconds(self, call: Call) -> float:
         """Return the seconds for which all targets of a request back off; 0 if one does not."""
-        return self._targets.find_return_seconds(call.service)
+        return self._targets.find_backoff_seconds(call.service)
 
     def record_arrival(self, call: Call) -> None:
         """Record the arrival of a request."""
@@ -131,7 +131,7 @@
     async def open(
         self,
         call: Call,
-        chosen: Chosen,
+        chosen: ChosenTarget,
         inputs: tuple[str, ...],
         last_event: str | None,
         on_sent: Callable[[], None] = lambda: None,
@@ -153,7 +153,7 @@
             target=chosen.target,
             remaining_seconds=call.remaining() - RESPONSE_TRANSIT_SECONDS,
             organisation=call.organisation.name if call.organisation is not None else "",
-            urgency=min(LEAST_URGENT, call.rank) if call.service.engine is not None else None,
+            urgency=min(LEAST_URGENT, call.priority) if call.service.engine is not None else None,
             inputs=inputs,
             last_event=last_event,
             source=chosen.source_address,
@@ -189,14 +189,14 @@
             health = "neutral"
         self._targets.finish(opened.chosen, health, load=opened.signs.load)
 
-    def finish_unopened(self, chosen: Chosen, health: HealthSignal) -> None:
+    def finish_unopened(self, chosen: ChosenTarget, health: HealthSignal) -> None:
         """End an attempt without a response."""
         if chosen.placed is not None and health == "bad":
-            chosen.placed.note_read(None)
+            chosen.placed.report_read(None)
         self._targets.finish(chosen, health)
 
     async def _read_own_head(
-        self, exchange: HttpExchange, call: Call, chosen: Chosen
+        self, exchange: HttpExchange, call: Call, chosen: ChosenTarget
     ) -> tuple[HttpHead, AnswerSigns]:
         """Return the head of the response to this request, skipping those to others."""
         for _ in range(MAX_SKIPPED_RESPONSES + 1):
@@ -244,7 +244,7 @@
             for part in call.request.prefix[:-1]
         ),
         tokens=call.request.tokens_in,
-        aim_left_seconds=call.aim_at - now,
+        aim_left_seconds=call.objective_at - now,
         avoid=avoid,
         inputs=places,
     )
--- a/packages/damsonlaned/src/damsonlaned/gateway/_call.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_call.py
@@ -25,21 +25,21 @@
     #: Arrival time, by the loop's clock.
     arrived_at: float
     #: Time by which its final response must be sent, by the loop's clock.
-    due_at: float
+    deadline_at: float
     #: Fingerprint of the request, the same whenever its caller sends it again.
     fingerprint: str = ""
     #: Whether its response has begun and is resumed at another target.
-    is_begun: bool = False
+    has_response_begun: bool = False
     #: Seconds that its caller has waited before this try, since an earlier one was refused.
-    waited_seconds: float = 0.0
+    earlier_wait_seconds: float = 0.0
 
     @property
-    def aim_at(self) -> float:
+    def objective_at(self) -> float:
         """Time at which its latency objective ends, counted from its caller's first try."""
-        return self.arrived_at - self.waited_seconds + self.route.aim_seconds
+        return self.arrived_at - self.earlier_wait_seconds + self.route.aim_seconds
 
     @property
-    def rank(self) -> int:
+    def priority(self) -> int:
         """Priority; 0 comes first.  An organisation's priority comes before a route's."""
         organisation = self.organisation.priority if self.organisation is not None else 0
         return organisation * ROUTE_PRIORITY_LEVELS + min(
@@ -48,7 +48,7 @@
 
     def remaining(self) -> float:
         """Return the seconds until its deadline."""
-        return self.due_at - asyncio.get_running_loop().time()
+        return self.deadline_at - asyncio.get_running_loop().time()
 
     def log_fields(self) -> dict[str, object]:
         """Return the fields that each log line about it has."""
--- a/packages/damsonlaned/src/damsonlaned/gateway/_caller_service.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_caller_service.py
@@ -14,9 +14,9 @@
 from damsonlaned.dialects import BadRequestError, CallerRequest, Dialect, Refusal
 from damsonlaned.gateway._attempts import Attempts
 from damsonlaned.gateway._call import Call
-from damsonlaned.gateway._ended_targets import EndedTargets
+from damsonlaned.gateway._exit_detector import ExitDetector
 from damsonlaned.gateway._request_handler import RequestHandler
-from damsonlaned.gateway._stages import StageRunner
+from damsonlaned.gateway._stage_runner import StageRunner
 from damsonlaned.gateway._view import FleetView
 from damsonlaned.http import HttpRequest, HttpResponse, ListenerLimits, ResponseWriter
 from damsonlaned.metrics import Metrics
@@ -57,7 +57,7 @@
     #: Runs stages.
     stages: StageRunner
     #: Detects targets that exited.
-    exit_detector: EndedTargets
+    exit_detector: ExitDetector
     #: Lists requests under which targets exited.
     quarantine: Quarantine
     #: HTTP conventions of callers and targets.
@@ -177,9 +177,9 @@
             service=_choose_service(table, route, request.request_id),
             organisation=organisation,
             arrived_at=arrived_at,
-            due_at=arrived_at + seconds - ANSWER_MARGIN_SECONDS,
+            deadline_at=arrived_at + seconds - ANSWER_MARGIN_SECONDS,
             fingerprint=_find_fingerprint(request, organisation),
-            waited_seconds=self._ages.estimate_seconds(route.name, request.deadline_seconds),
+            earlier_wait_seconds=self._ages.estimate_seconds(route.name, request.deadline_seconds),
         )
 
     def _find_table(self) -> RouteTable:
@@ -255,9 +255,9 @@
         "organisation": call.organisation.name if call.organisation is not None else "",
         "service": call.service.name,
         "fingerprint": call.fingerprint,
-        "rank": call.rank,
-        "left_ms": int(1000 * (call.due_at - call.arrived_at)),
-        "waited_ms": int(1000 * call.waited_seconds),
+        "rank": call.priority,
+        "left_ms": int(1000 * (call.deadline_at - call.arrived_at)),
+        "waited_ms": int(1000 * call.earlier_wait_seconds),
         "pieces": call.request.pieces,
         "tokens": call.request.tokens_in,
     }
--- a/packages/damsonlaned/src/damsonlaned/gateway/_control_follower.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_control_follower.py
@@ -181,7 +181,7 @@
         if update.quarantine is not None:
             self._view.quarantine.put(update.quarantine)
         if update.rate_limits is not None:
-            self._view.limits.put(update.rate_limits)
+            self._view.limits.apply_list(update.rate_limits)
         if update.entries is not None:
             self._view.put_entries(update.entries)
         if update.document is not None:
--- a/packages/damsonlaned/src/damsonlaned/gateway/_ended_targets.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_exit_detector.py
@@ -20,7 +20,7 @@
 ExitCallback = Callable[[LostTarget, Sequence[InterruptedRequest]], None]
 
 
-class EndedTargets:
+class ExitDetector:
     """Distinguishes targets that exited from single connections that broke.
 
     A connection breaks for many reasons; only the exit of the target counts against the requests
@@ -42,7 +42,7 @@
         self._delayed_probes: dict[LostTarget, asyncio.Task[None]] = {}
         view.on_change(self._follow_view)
 
-    async def note_broken(self, lost: LostTarget, runs: Sequence[InterruptedRequest]) -> bool:
+    async def report_broken(self, lost: LostTarget, runs: Sequence[InterruptedRequest]) -> bool:
         """Record broken responses; return whether the target is known to have exited.
 
         A target that is draining or no longer listed exits as planned, which counts against no
@@ -59,7 +59,7 @@
         self._schedule_probe(lost)
         return False
 
-    def note_silent(self, lost: LostTarget, runs: Sequence[InterruptedRequest]) -> None:
+    def report_silent(self, lost: LostTarget, runs: Sequence[InterruptedRequest]) -> None:
         """Record responses that timed out: only a report of control shows whether it exited."""
         self._record_loss(lost, runs)
 
@@ -78,7 +78,7 @@
         record = self._view.find_target(lost.target)
         if record is None or record.standing == "leaving":
             return False
-        return not self._view.notices.is_leaving(record)
+        return not self._view.announcements.is_draining(record)
 
     def _probe(self, lost: LostTarget) -> "asyncio.Task[bool]":
         """Return the probe of a target that is under way, or start one."""
--- a/packages/damsonlaned/src/damsonlaned/gateway/_failure_responder.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_failure_responder.py
@@ -7,7 +7,7 @@
 from damsonlaned.gateway._attempt_history import AttemptHistory
 from damsonlaned.gateway._failed_attempt import FailedAttempt
 from damsonlaned.gateway._final_response import FinalResponse
-from damsonlaned.gateway._stages import StageError
+from damsonlaned.gateway._stage_runner import StageError
 from damsonlaned.quarantine import find_retry_seconds
 
 #: Least Retry-After of a request that failed at all targets without having run, in seconds.
--- a/packages/damsonlaned/src/damsonlaned/gateway/_read_timer.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_input_read_timer.py
@@ -10,7 +10,7 @@
 READ_SECONDS: Final = 0.05
 
 
-class ReadTimer:
+class InputReadTimer:
     """Reports the inputs of a call as read after a delay, unless the call ends before.
 
     Args:
--- a/packages/damsonlaned/src/damsonlaned/gateway/_limited_places.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_limited_targets.py
@@ -9,16 +9,16 @@
 from damsonlane.ratelimit import Permit
 from damsonlane.routes import Service
 from damsonlaned.gateway._permit_client import PermitClient
-from damsonlaned.gateway._targets import Chosen, Prompt, Targets
+from damsonlaned.gateway._target_selector import ChosenTarget, Prompt, TargetSelector
 
 #: Seconds for which rate-limited targets get nothing after no owner answered.
 UNANSWERED_SECONDS: Final = 0.2
 #: Least seconds between two permit orders for a target, while other targets accept requests.
-LEAST_PAUSE_SECONDS: Final = 0.02
+MIN_PERMIT_INTERVAL_SECONDS: Final = 0.02
 
 
 @dataclass(frozen=True, kw_only=True)
-class NoPlace:
+class NoTarget:
     """The result of a selection while no target may get the request."""
 
     #: Human-readable reason.
@@ -29,7 +29,7 @@
     return_seconds: float = 0.0
 
 
-class LimitedPlaces:
+class LimitedTargetSelector:
     """Selects targets, with a permit where the best one is rate limited.
 
     Args:
@@ -37,37 +37,37 @@
         permits: requests permits.
     """
 
-    def __init__(self, targets: Targets, permits: PermitClient) -> None:
+    def __init__(self, targets: TargetSelector, permits: PermitClient) -> None:
         self._targets: Final = targets
         self._permits: Final = permits
         self._limited_until: dict[TargetIncarnation, float] = {}
 
     async def choose(
         self, service: Service, prompt: Prompt, avoid: Collection[str]
-    ) -> Chosen | NoPlace:
+    ) -> ChosenTarget | NoTarget:
         """Return a target for a request that is sent immediately."""
-        limited = self._targets.list_limited(service)
+        limited = self._targets.list_rate_limited(service)
         if not limited:
-            return self._targets.choose(service, prompt, avoid) or NoPlace()
-        if self._targets.are_all_limited(service):
+            return self._targets.choose(service, prompt, avoid) or NoTarget()
+        if self._targets.are_all_rate_limited(service):
             return await self._choose_among_limited(service, limited, avoid)
         at_rate = self._list_at_rate_limit(limited)
         chosen = self._targets.choose(service, prompt, avoid, at_rate)
         if chosen is None or chosen.target not in limited:
-            return chosen or NoPlace()
+            return chosen or NoTarget()
         # A rate-limited target is preferred like any other until it is at its limit.
-        self._targets.give_back(chosen)
+        self._targets.release_unused(chosen)
         others = [
             incarnation for name, incarnation in limited.items() if name not in {*avoid, *at_rate}
         ]
         others.sort(key=lambda incarnation: incarnation.target != chosen.target)
         permitted = await self._choose_with_permit(service, others)
-        return permitted or self._targets.choose(service, prompt, avoid, limited) or NoPlace()
+        return permitted or self._targets.choose(service, prompt, avoid, limited) or NoTarget()
 
-    async def find_begin_wait(self, service: Service) -> NoPlace | None:
+    async def check_admission(self, service: Service) -> NoTarget | None:
         """Return why a request with stages may not begin yet; None if it may begin now."""
-        limited = self._targets.list_limited(service)
-        if not limited or not self._targets.are_all_limited(service):
+        limited = self._targets.list_rate_limited(service)
+        if not limited or not self._targets.are_all_rate_limited(service):
             return None
         permit = await self._permits.ask(
             service.name, list(limited.values()), is_last=True, is_beginning=True
@@ -76,7 +76,7 @@
 
     async def _choose_among_limited(
         self, service: Service, limited: dict[str, TargetIncarnation], avoid: Collection[str]
-    ) -> Chosen | NoPlace:
+    ) -> ChosenTarget | NoTarget:
         """Return a target where all are rate limited, or when the caller should retry."""
         untried = [incarnation for name, incarnation in limited.items() if name not in avoid]
         targets = untried or list(limited.values())
@@ -86,20 +86,20 @@
 
     async def _choose_with_permit(
         self, service: Service, targets: list[TargetIncarnation]
-    ) -> Chosen | None:
+    ) -> ChosenTarget | None:
         """Return a rate-limited target with a permit, or None without a permit."""
         permit = await self._permits.ask(service.name, targets, is_last=False)
         chosen = self._accept(service, permit)
         if chosen is None:
             wait = permit.wait_seconds if permit is not None else UNANSWERED_SECONDS
-            until = asyncio.get_running_loop().time() + max(LEAST_PAUSE_SECONDS, wait)
+            until = asyncio.get_running_loop().time() + max(MIN_PERMIT_INTERVAL_SECONDS, wait)
             self._limited_until.update(dict.fromkeys(targets, until))
         return chosen
 
-    def _accept(self, service: Service, permit: Permit | None) -> Chosen | None:
+    def _accept(self, service: Service, permit: Permit | None) -> ChosenTarget | None:
         if permit is None or not permit.target:
             return None
-        return self._targets.take_permitted(service, permit.target)
+        return self._targets.choose_permitted(service, permit.target)
 
     def _list_at_rate_limit(self, limited: dict[str, TargetIncarnation]) -> set[str]:
         """Return the targets for which this entry was refused a permit and should not ask yet."""
@@ -112,14 +112,14 @@
         return {name for name, incarnation in limited.items() if incarnation in self._limited_until}
 
 
-def _explain(permit: Permit | None) -> NoPlace:
+def _explain(permit: Permit | None) -> NoTarget:
     """Return the reason and the waits for a request that got no permit."""
     if permit is None:
-        return NoPlace(
+        return NoTarget(
             detail="nobody issues permits for the targets of the service",
             wait_seconds=UNANSWERED_SECONDS,
         )
-    return NoPlace(
+    return NoTarget(
         detail="all targets of the service have the requests that they take",
         wait_seconds=permit.wait_seconds,
         return_seconds=permit.return_seconds,
--- a/packages/damsonlaned/src/damsonlaned/gateway/_node.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_node.py
@@ -18,16 +18,16 @@
 from damsonlaned.gateway._attempts import Attempts
 from damsonlaned.gateway._caller_service import CallerService, HandlerDependencies
 from damsonlaned.gateway._control_follower import ControlFollower
-from damsonlaned.gateway._ended_targets import EndedTargets
+from damsonlaned.gateway._exit_detector import ExitDetector
 from damsonlaned.gateway._limit_reports import LimitReports
 from damsonlaned.gateway._permit_client import PermitClient
 from damsonlaned.gateway._placement_client import PlacementClient
-from damsonlaned.gateway._placer import PromptPlacers
 from damsonlaned.gateway._pool_client import PoolClient
 from damsonlaned.gateway._pool_owners import PoolOwners
 from damsonlaned.gateway._pool_service import PoolService
-from damsonlaned.gateway._stages import StageRunner
-from damsonlaned.gateway._targets import Targets
+from damsonlaned.gateway._prompt_placer import PromptPlacers
+from damsonlaned.gateway._stage_runner import StageRunner
+from damsonlaned.gateway._target_selector import TargetSelector
 from damsonlaned.gateway._view import FleetView
 from damsonlaned.http import HttpListener, HttpRequest, HttpResponse, ResponseWriter
 from damsonlaned.metrics import Metrics
@@ -69,8 +69,8 @@
         self._quarantine: Final = Quarantine(
             self._view.quarantine, QuarantineClient(self._control).submit
         )
-        exit_detector = EndedTargets(self._view, self._quarantine.record_exit)
-        targets = Targets(
+        exit_detector = ExitDetector(self._view, self._quarantine.record_exit)
+        targets = TargetSelector(
             self._view, settings.data_centre, self._count_entries, settings.internal_address
         )
         owners = PoolOwners(
@@ -81,9 +81,9 @@
         placers = PromptPlacers(self._view)
         self._pool_service: Final = PoolService(owners, placers, self._view.limits)
         placements = PlacementClient(placers, self._pools, settings.internal_address)
-        self._pools.take_placements = placements.take
+        self._pools.on_placements = placements.receive
         permits = PermitClient(self._view, self._pools, settings.internal_address)
-        self._pools.take_permits = permits.take
+        self._pools.on_permits = permits.receive
         self._limit_reports: Final = LimitReports(self._view, self._control)
         attempts = Attempts(
             targets,
@@ -193,8 +193,8 @@
         self._metrics.settings_version.set({}, self._view.version())
         self._metrics.evacuated_data_centres.set({}, len(self._view.evacuated))
         self._metrics.quarantined.set({}, len(self._view.quarantine.newest.held))
-        backing_off = self._view.notices.list_backing_off()
+        backing_off = self._view.announcements.list_backing_off()
         listed = [incarnation for incarnation in backing_off if self._view.is_listed(incarnation)]
         self._metrics.backing_off.set({}, len(listed))
-        self._metrics.rate_limited.set({}, len(self._view.limits.list_words()))
-        self._owners.count_waiting()
+        self._metrics.rate_limited.set({}, len(self._view.limits.list_reports()))
+        self._owners.update_metrics()
--- a/packages/damsonlaned/src/damsonlaned/gateway/_permit_client.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_permit_client.py
@@ -72,11 +72,11 @@
         for owner in self._owners.find_owners(service):
             permit = await self._ask(owner, service, order)
             if permit is not None:
-                self._view.limits.learn(permit.words)
+                self._view.limits.merge_reports(permit.words)
                 return permit
         return None
 
-    def take(self, permits: Sequence[Permit]) -> None:
+    def receive(self, permits: Sequence[Permit]) -> None:
         """Receive the answers of an owner."""
         for permit in permits:
             pending = self._pending.pop(permit.number, None)
--- a/packages/damsonlaned/src/damsonlaned/gateway/_placement_client.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_placement_client.py
@@ -9,7 +9,7 @@
 
 from damsonlane.placement import Placement, PlacementRequest, PromptOutcome
 from damsonlane_rpc import PoolOrders
-from damsonlaned.gateway._placer import PromptPlacers
+from damsonlaned.gateway._prompt_placer import PromptPlacers
 
 _LOG: Final = logging.getLogger(__name__)
 
@@ -66,7 +66,7 @@
             return None
         return PlacedPrompt(self, owner, service, placement)
 
-    def take(self, placements: Sequence[Placement]) -> None:
+    def receive(self, placements: Sequence[Placement]) -> None:
         """Receive the placements of an owner."""
         for placement in placements:
             pending = self._pending.pop(placement.number, None)
@@ -134,7 +134,7 @@
         self.source: Final = placement.source
         self._is_reported = False
 
-    def note_read(self, seconds: float | None) -> None:
+    def report_read(self, seconds: float | None) -> None:
         """Report the time until the first event to the owner; only the first call has an effect.
 
         Args:
--- a/packages/damsonlaned/src/damsonlaned/gateway/_pool_calls.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_pool_calls.py
@@ -9,7 +9,7 @@
 from damsonlane.routes import PoolProperties
 from damsonlaned.dialects import Dialect, MadePiece
 from damsonlaned.gateway._pool_targets import PoolTarget
-from damsonlaned.gateway._target_notices import TargetNotices
+from damsonlaned.gateway._target_announcements import TargetAnnouncements
 from damsonlaned.http import ConnectionPool, HttpHead, HttpRequest, IncompleteResponseError
 
 #: Timeout of a call as a multiple of its expected duration: a target may run
@@ -88,7 +88,7 @@
         notices: processes the signals in the heads of answers.
     """
 
-    def __init__(self, dialect: Dialect, notices: TargetNotices) -> None:
+    def __init__(self, dialect: Dialect, notices: TargetAnnouncements) -> None:
         self._dialect: Final = dialect
         self._notices: Final = notices
 
@@ -157,7 +157,7 @@
         try:
             head = await exchange.read_head()
             signals = self._dialect.read_signs(head)
-            self._notices.take(target.incarnation, signals, is_work=is_work)
+            self._notices.record(target.incarnation, signals, is_work=is_work)
             body = await exchange.body.read_all()
         finally:
             exchange.finish()
--- a/packages/damsonlaned/src/damsonlaned/gateway/_pool_client.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_pool_client.py
@@ -77,9 +77,9 @@
         self._withdrawn: dict[int, str] = {}
         self._waits: Final = ReportedWaits()
         #: Called with the placements that arrive on the same streams.
-        self.take_placements: OnPlacements = lambda _: None
+        self.on_placements: OnPlacements = lambda _: None
         #: Called with the permits that arrive on the same streams.
-        self.take_permits: OnPermits = lambda _: None
+        self.on_permits: OnPermits = lambda _: None
         view.limits.find_share = self._find_share
         view.on_entries(self._update_owners)
 
@@ -171,8 +171,8 @@
         self._find_link(owner).send(replace(message, words=reports) if reports else message)
 
     def _list_rate_reports(self, service: str) -> list[RateLimitReport]:
-        limited = self._view.list_limited(service).values()
-        return [report for report in self._view.limits.list_words() if report.named in limited]
+        limited = self._view.list_rate_limited(service).values()
+        return [report for report in self._view.limits.list_reports() if report.named in limited]
 
     def _update_owners(self) -> None:
         """Hand over the pools that another entry now owns.
@@ -186,7 +186,7 @@
     def _hand_over_pools(self) -> None:
         for service in self._owners.services():
             if self.find_owner(service) != self._address:
-                self._owners.get(service).hand_over()
+                self._owners.get(service).return_waiting()
 
     def _send_orders(self, service: str, placed: Sequence[_PendingOrder]) -> None:
         """Send orders to the owner of their pool, with their remaining times."""
@@ -207,9 +207,9 @@
                 self._context,
                 self.receive,
                 self.receive_reads,
-                lambda placements: self.take_placements(placements),
-                lambda permits: self.take_permits(permits),
-                self.lose_owner,
+                lambda placements: self.on_placements(placements),
+                lambda permits: self.on_permits(permits),
+                self.handle_lost_owner,
             )
         return self._links[owner]
 
@@ -243,7 +243,7 @@
             if pending is not None:
                 pending.on_read()
 
-    def lose_owner(self, owner: str, numbers: Sequence[int], fault: str) -> None:
+    def handle_lost_owner(self, owner: str, numbers: Sequence[int], fault: str) -> None:
         """Place the outstanding orders of a lost owner with another one."""
         link = self._links.pop(owner, None)
         if link is None:
--- a/packages/damsonlaned/src/damsonlaned/gateway/_pool_owner.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_pool_owner.py
@@ -12,16 +12,16 @@
 from damsonlane.routes import PoolProperties, Service
 from damsonlane.warmup import WarmupLimiter
 from damsonlaned.dialects import BadRequestError, Dialect, MadePiece
-from damsonlaned.gateway._ended_targets import EndedTargets
+from damsonlaned.gateway._exit_detector import ExitDetector
 from damsonlaned.gateway._free_calls import FreeCalls
+from damsonlaned.gateway._input_read_timer import InputReadTimer
 from damsonlaned.gateway._order_receivers import OrderReceiver, OrderReceivers
 from damsonlaned.gateway._piece_answers import PieceAnswers
 from damsonlaned.gateway._pool_calls import BatchCall, PoolCalls, TargetFullError
 from damsonlaned.gateway._pool_metrics import PoolMetrics
 from damsonlaned.gateway._pool_targets import PoolTarget, PoolTargets
 from damsonlaned.gateway._rate_limits import ServiceLimits
-from damsonlaned.gateway._read_timer import ReadTimer
-from damsonlaned.gateway._targets import Targets
+from damsonlaned.gateway._target_selector import TargetSelector
 from damsonlaned.gateway._view import FleetView
 from damsonlaned.gateway._wait_forecasts import WaitForecasts
 from damsonlaned.http import ConnectionPool, IncompleteResponseError, NotSentError
@@ -54,10 +54,10 @@
         self,
         service: str,
         view: FleetView,
-        targets: Targets,
+        targets: TargetSelector,
         dialect: Dialect,
         metrics: PoolMetrics,
-        ended: EndedTargets,
+        ended: ExitDetector,
         quarantine: Quarantine,
     ) -> None:
         self._ended: Final = ended
@@ -66,11 +66,11 @@
         self._view: Final = view
         self._targets: Final = targets
         self._metrics: Final = metrics
-        self._calls: Final = PoolCalls(dialect, view.notices)
+        self._calls: Final = PoolCalls(dialect, view.announcements)
         self._queue: Final = PieceQueue()
         self._receivers: Final = OrderReceivers()
         self._pool_targets: Final = PoolTargets(
-            view.notices.seconds_left, ServiceLimits(view.limits, service)
+            view.announcements.backoff_seconds_left, ServiceLimits(view.limits, service)
         )
         self._free_calls: Final = FreeCalls(
             dialect.read_maker,
@@ -121,7 +121,7 @@
         for number in numbers:
             self._queue.cancel(sender, number)
 
-    def hand_over(self) -> None:
+    def return_waiting(self) -> None:
         """Return queued pieces to their senders, since another entry now owns the pool.
 
         Calls in progress complete here and their results are delivered as usual.
@@ -154,7 +154,7 @@
             self._refuse(
                 self._queue.take_late(now, self._pool_targets.make_offer(None, service.pool, now))
             )
-        warming_up = self._view.list_cold(self._service)
+        warming_up = self._view.list_warming_up(self._service)
         for target in self._pool_targets.list_ready(now):
             if not len(self._queue):
                 return
@@ -172,7 +172,7 @@
 
     def _admits_warming_up(self, target: PoolTarget, now: float) -> bool:
         """Return whether a target that is warming up can serve one more call."""
-        bound = self._view.find_cold_bound(self._service)
+        bound = self._view.find_warmup_limit(self._service)
         return bound is None or self._warm_up_gate.admits(target.name, bound.owner_limit(), now)
 
     def _select(
@@ -238,7 +238,7 @@
         """Send a call, deliver its results and dispatch the next one."""
         began_at = self._now()
         sizes: dict[str, int] = {}
-        read_timer = ReadTimer(partial(self._receivers.notify_read, call.batch))
+        read_timer = InputReadTimer(partial(self._receivers.notify_read, call.batch))
         try:
             sizes = await self._execute(service, call, read_timer)
         finally:
@@ -250,7 +250,7 @@
         self._dispatch()
 
     async def _execute(
-        self, service: Service, call: BatchCall, read_timer: ReadTimer
+        self, service: Service, call: BatchCall, read_timer: InputReadTimer
     ) -> dict[str, int]:
         """Run a batch; return the sizes of its results by handle, empty if the call failed."""
         target = call.target
@@ -268,7 +268,7 @@
         except NotSentError as error:
             self._record_failed_call(call, str(error), has_run=False)
         except TimeoutError:
-            self._ended.note_silent(
+            self._ended.report_silent(
                 LostTarget.of(target.incarnation), self._describe_runs(call, began_at)
             )
             self._record_failed_call(call, "no answer in time", has_run=True)
@@ -340,7 +340,7 @@
     async def _record_broken_call(self, call: BatchCall, began_at: float) -> None:
         """Find out whether the target exited, before its pieces go to another one."""
         runs = self._describe_runs(call, began_at)
-        if await self._ended.note_broken(LostTarget.of(call.target.incarnation), runs):
+        if await self._ended.report_broken(LostTarget.of(call.target.incarnation), runs):
             await self._quarantine.wait_until_reported(*(run.fingerprint for run in runs))
 
     def _describe_runs(self, call: BatchCall, began_at: float) -> tuple[InterruptedRequest, ...]:
--- a/packages/damsonlaned/src/damsonlaned/gateway/_pool_owners.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_pool_owners.py
@@ -3,10 +3,10 @@
 from typing import Final
 
 from damsonlaned.dialects import Dialect
-from damsonlaned.gateway._ended_targets import EndedTargets
+from damsonlaned.gateway._exit_detector import ExitDetector
 from damsonlaned.gateway._pool_metrics import PoolMetrics
 from damsonlaned.gateway._pool_owner import PoolOwner
-from damsonlaned.gateway._targets import Targets
+from damsonlaned.gateway._target_selector import TargetSelector
 from damsonlaned.gateway._view import FleetView
 from damsonlaned.metrics import Metrics
 from damsonlaned.quarantine import Quarantine
@@ -27,10 +27,10 @@
     def __init__(
         self,
         view: FleetView,
-        targets: Targets,
+        targets: TargetSelector,
         dialect: Dialect,
         metrics: Metrics,
-        ended: EndedTargets,
+        ended: ExitDetector,
         quarantine: Quarantine,
     ) -> None:
         self._ended: Final = ended
@@ -59,7 +59,7 @@
         """Return the services whose pools this entry owns or has owned."""
         return tuple(self._owners)
 
-    def count_waiting(self) -> None:
+    def update_metrics(self) -> None:
         """Set the gauges of queued pieces."""
         for service, owner in self._owners.items():
             self._metrics.pool_waiting.set({"service": service}, owner.count_waiting())
--- a/packages/damsonlaned/src/damsonlaned/gateway/_pool_service.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_pool_service.py
@@ -12,8 +12,8 @@
 from damsonlane.pools import PieceResult
 from damsonlane.ratelimit import Permit
 from damsonlane_rpc import CALL_ERRORS, POOL, PoolOrders, PoolResults
-from damsonlaned.gateway._placer import PromptPlacers
 from damsonlaned.gateway._pool_owners import PoolOwners
+from damsonlaned.gateway._prompt_placer import PromptPlacers
 from damsonlaned.gateway._rate_limits import RateLimits
 
 #: Seconds between messages to an entry that awaits results, so that it can tell a
@@ -54,7 +54,7 @@
 
     def _process(self, sender: str, message: PoolOrders, outgoing: "_SendBuffer") -> None:
         limits = self._limits
-        limits.learn(message.words)
+        limits.merge_reports(message.words)
         outgoing.add_permits(limits.issue(message.service, message.permits))
         placer = self._placers.find(message.service)
         if placer is None:
--- a/packages/damsonlaned/src/damsonlaned/gateway/_placer.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_prompt_placer.py
@@ -48,8 +48,8 @@
         self._sides.record(order.tokens)
         side = self._sides.find_engines(order.tokens, self._places)
         now = asyncio.get_running_loop().time()
-        warming_up = self._view.list_cold(self._service)
-        limited = self._view.list_limited(self._service)
+        warming_up = self._view.list_warming_up(self._service)
+        limited = self._view.list_rate_limited(self._service)
         excluded = [
             *self._list_at_warm_up_limit(warming_up, now),
             *self._list_at_rate_limit(limited),
@@ -71,7 +71,7 @@
 
     def _list_at_warm_up_limit(self, warming_up: Sequence[str], now: float) -> Sequence[str]:
         """Return the engines that are warming up and can serve no further request yet."""
-        bound = self._view.find_cold_bound(self._service) if warming_up else None
+        bound = self._view.find_warmup_limit(self._service) if warming_up else None
         if bound is None:
             return ()
         limit = bound.owner_limit()
--- a/packages/damsonlaned/src/damsonlaned/gateway/_rate_limits.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_rate_limits.py
@@ -53,7 +53,9 @@
 
     # Reports from targets, peers and control.
 
-    def take(self, incarnation: TargetIncarnation, signals: AnswerSigns, *, may_end: bool) -> None:
+    def process_signals(
+        self, incarnation: TargetIncarnation, signals: AnswerSigns, *, may_end: bool
+    ) -> None:
         """Process the head of an answer.
 
         Args:
@@ -68,14 +70,14 @@
             for listener in (*self._received_listeners, *self._update_listeners):
                 listener(report)
 
-    def learn(self, reports: Sequence[RateLimitReport]) -> None:
+    def merge_reports(self, reports: Sequence[RateLimitReport]) -> None:
         """Merge reports that a peer received."""
         for report in reports:
             if self._record(report):
                 for listener in self._update_listeners:
                     listener(report)
 
-    def put(self, newer: RateLimitList) -> None:
+    def apply_list(self, newer: RateLimitList) -> None:
         """Apply a newer list from control; each change in it was just received by a peer."""
         if newer.revision <= self.revision:
             return
@@ -88,7 +90,7 @@
         """Revision of the list from control that was applied last; -1 for none."""
         return self._listed.revision
 
-    def follow(self, known: Collection[TargetIncarnation]) -> None:
+    def forget_unlisted(self, known: Collection[TargetIncarnation]) -> None:
         """Forget incarnations that control no longer lists, as targets or as rate limited."""
         listed = {*known, *(report.named for report in self._listed.words)}
         self._book.retain_only(listed, self._clock())
@@ -104,7 +106,7 @@
         """Return the rate limit of a target in requests per second; None without one."""
         return None if self._book.is_empty() else self._book.find_rate(incarnation)
 
-    def list_words(self) -> tuple[RateLimitReport, ...]:
+    def list_reports(self) -> tuple[RateLimitReport, ...]:
         """Return a report of each rate limit in force, to send to a peer."""
         return () if self._book.is_empty() else self._book.list_reports(self._clock())
 
--- a/packages/damsonlaned/src/damsonlaned/gateway/_request_handler.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_request_handler.py
@@ -12,18 +12,18 @@
 from damsonlaned.gateway._attempt_history import AttemptHistory
 from damsonlaned.gateway._attempts import Attempts, OpenedExchange
 from damsonlaned.gateway._call import Call
-from damsonlaned.gateway._ended_targets import EndedTargets
 from damsonlaned.gateway._events import EventSplitter, EventTooLargeError, StreamTimeoutError
+from damsonlaned.gateway._exit_detector import ExitDetector
 from damsonlaned.gateway._failed_attempt import FailedAttempt
 from damsonlaned.gateway._failure_responder import FailureResponder
 from damsonlaned.gateway._final_response import FinalResponse
-from damsonlaned.gateway._limited_places import NoPlace
-from damsonlaned.gateway._read_timer import ReadTimer
+from damsonlaned.gateway._input_read_timer import InputReadTimer
+from damsonlaned.gateway._limited_targets import NoTarget
 from damsonlaned.gateway._request_times import RequestTimes
-from damsonlaned.gateway._stage_work import StageResults
-from damsonlaned.gateway._stages import StageError, StageRunner
+from damsonlaned.gateway._stage_attempt import StageResults
+from damsonlaned.gateway._stage_runner import StageError, StageRunner
+from damsonlaned.gateway._target_selector import ChosenTarget
 from damsonlaned.gateway._target_wait import TargetWait, make_no_target_failure
-from damsonlaned.gateway._targets import Chosen
 from damsonlaned.http import (
     CallerDisconnectedError,
     HttpResponse,
@@ -56,7 +56,7 @@
         reply: ResponseWriter,
         attempts: Attempts,
         stages: StageRunner,
-        exit_detector: EndedTargets,
+        exit_detector: ExitDetector,
         quarantine: Quarantine,
         dialect: Dialect,
         count_entries: Callable[[], int],
@@ -88,7 +88,7 @@
         """Serve the request, or refuse it and report whether it may have run."""
         self._attempts.record_arrival(self._call)
         try:
-            async with asyncio.timeout_at(self._call.due_at) as limit:
+            async with asyncio.timeout_at(self._call.deadline_at) as limit:
                 with self._quarantine.watch(self._call.fingerprint, partial(self._stop, limit)):
                     await self._serve()
         except TimeoutError:
@@ -158,10 +158,10 @@
         """Send the request to one target; return None once the response is complete."""
         if self._results is None:
             is_begun = self._response.has_begun()
-            self._results = await self._stages.make(self._call, is_begun=is_begun)
+            self._results = await self._stages.run(self._call, is_begun=is_begun)
             self._times.record_staged()
         chosen = await self._target_wait.find_target(self._results)
-        if isinstance(chosen, NoPlace):
+        if isinstance(chosen, NoTarget):
             no_target = make_no_target_failure(chosen)
             self._log_failure(no_target)
             return no_target
@@ -175,16 +175,16 @@
             await self._report_loss(failure, chosen)
         return failure
 
-    async def _report_loss(self, failure: FailedAttempt, chosen: Chosen) -> None:
+    async def _report_loss(self, failure: FailedAttempt, chosen: ChosenTarget) -> None:
         """Report a lost response, since the target may have exited under the request."""
         runs = (self._make_broken_run(),)
         if failure.loss == "broken":
-            if await self._exit_detector.note_broken(LostTarget.of(chosen.named), runs):
+            if await self._exit_detector.report_broken(LostTarget.of(chosen.incarnation), runs):
                 await self._quarantine.wait_until_reported(self._call.fingerprint)
         elif failure.loss == "silent":
-            self._exit_detector.note_silent(LostTarget.of(chosen.named), runs)
+            self._exit_detector.report_silent(LostTarget.of(chosen.incarnation), runs)
 
-    async def _send(self, chosen: Chosen) -> FailedAttempt | None:
+    async def _send(self, chosen: ChosenTarget) -> FailedAttempt | None:
         try:
             opened = await self._open(chosen)
         except NotSentError as error:
@@ -198,7 +198,7 @@
             return await self._forward_stream(opened)
         return await self._forward_whole(opened)
 
-    async def _open(self, chosen: Chosen) -> OpenedExchange:
+    async def _open(self, chosen: ChosenTarget) -> OpenedExchange:
         """Send the request and wait for the head of the response.
 
         Raises:
@@ -207,7 +207,7 @@
             TimeoutError: the target did not respond in time.
         """
         inputs = self._results.inputs if self._results is not None else ()
-        reading = ReadTimer(self._release_read_results)
+        reading = InputReadTimer(self._release_read_results)
         try:
             async with asyncio.timeout(self._history.response_timeout_seconds()):
                 return await self._attempts.open(
@@ -305,9 +305,9 @@
             self._response.start(opened.head)
             seconds = self._times.record_first_event()
             if opened.chosen.placed is not None:
-                opened.chosen.placed.note_read(self._times.seconds_since_sent())
+                opened.chosen.placed.report_read(self._times.seconds_since_sent())
             if self._history.attempt_count == 1:
-                self._stages.note_first_event(self._call, seconds)
+                self._stages.record_first_event(self._call, seconds)
         self._times.record_event()
         await self._response.send(data)
         if event_id is not None:
@@ -339,7 +339,7 @@
         Otherwise they are kept until the first event, since a retry at another target needs
         them.
         """
-        if self._results is not None and self._stages.is_room_wanted(self._results):
+        if self._results is not None and self._stages.has_memory_contention(self._results):
             self._release_results()
 
     def _release_results(self) -> None:
@@ -353,7 +353,7 @@
             fingerprint=self._call.fingerprint, seconds=self._times.seconds_since_sent()
         )
 
-    def _log_failure(self, failure: FailedAttempt, chosen: Chosen | None = None) -> None:
+    def _log_failure(self, failure: FailedAttempt, chosen: ChosenTarget | None = None) -> None:
         fields = {
             "target": chosen.target if chosen is not None else "",
             "reason": failure.detail,
--- a/packages/damsonlaned/src/damsonlaned/gateway/_stage_orders.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_stage_orders.py
@@ -12,7 +12,7 @@
 from damsonlane.routes import Stage
 from damsonlaned.gateway._call import Call
 from damsonlaned.gateway._pool_client import PoolClient
-from damsonlaned.gateway._stage_work import StageAttempt
+from damsonlaned.gateway._stage_attempt import StageAttempt
 
 #: Share of its time after which a request whose stages have begun is served even if
 #: it misses its objective: its caller has waited too long for a retry to succeed.
@@ -58,7 +58,7 @@
 
     def estimate_seconds(self, call: Call, stage: Stage) -> float:
         """Return the estimated seconds of a stage, including the last reported queueing time."""
-        wait = self._client.wait_seconds(stage.service, call.rank)
+        wait = self._client.wait_seconds(stage.service, call.priority)
         return _typical_seconds(call, stage) + wait
 
     def find_home(self, attempt: StageAttempt, start: ReadyStage) -> str:
@@ -97,11 +97,13 @@
         now = asyncio.get_running_loop().time()
         remaining = after.stages + after.queues + after.first_event
         aim_left = _find_objective(call, now) - now - remaining
-        is_late_return = call.waited_seconds > 0 and aim_left < _typical_seconds(call, start.stage)
+        is_late_return = call.earlier_wait_seconds > 0 and aim_left < _typical_seconds(
+            call, start.stage
+        )
         if is_late_return:
             # A retried request that will be late anyway gets the objective of a new one, so that
             # it is served as soon as that or refused.
-            aim_left += call.waited_seconds
+            aim_left += call.earlier_wait_seconds
         return PieceOrder(
             number=0,
             request=call.request.request_id,
@@ -109,13 +111,13 @@
             piece=piece,
             material_key=call.request.material_key if not start.stage.after else "",
             inputs=start.inputs,
-            left_seconds=call.due_at - now - after.stages - after.first_event,
+            left_seconds=call.deadline_at - now - after.stages - after.first_event,
             aim_left_seconds=aim_left,
             is_late_return=is_late_return,
             give_up_left_seconds=_give_up_at(call) - now,
-            rank=call.rank,
+            rank=call.priority,
             result_bytes=start.stage.result_bytes,
-            is_begun=call.is_begun or bool(attempt.held),
+            is_begun=call.has_response_begun or bool(attempt.held),
             fingerprint=call.fingerprint,
             home=home,
         )
@@ -126,7 +128,7 @@
         chain = attempt.plan.longest_chain_after(start.index)
         return _RemainingTime(
             stages=sum(_typical_seconds(call, stage) for stage in chain),
-            queues=sum(self._client.wait_seconds(stage.service, call.rank) for stage in chain),
+            queues=sum(self._client.wait_seconds(stage.service, call.priority) for stage in chain),
             first_event=self._find_forecast(call).seconds(
                 call.request.tokens_in, call.route.aim_seconds
             ),
@@ -144,14 +146,18 @@
 
 def _find_objective(call: Call, now: float) -> float:
     """Return the time of a request's latency objective; that of a broken stream is near."""
-    return min(call.due_at, now + RESUME_SECONDS) if call.is_begun else call.aim_at
+    return (
+        min(call.deadline_at, now + RESUME_SECONDS)
+        if call.has_response_begun
+        else call.objective_at
+    )
 
 
 def _give_up_at(call: Call) -> float:
     """Return until when a request may be refused; one whose answer has begun may not be."""
-    if call.is_begun:
+    if call.has_response_begun:
         return call.arrived_at
-    return call.arrived_at + GIVE_UP_SHARE * (call.due_at - call.arrived_at)
+    return call.arrived_at + GIVE_UP_SHARE * (call.deadline_at - call.arrived_at)
 
 
 def _count_input_bytes(call: Call, start: ReadyStage) -> int:
--- a/packages/damsonlaned/src/damsonlaned/gateway/_stages.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_stage_runner.py
@@ -12,8 +12,8 @@
 from damsonlane.pools import PieceFault, PieceResult, ReadyStage, StageProgress
 from damsonlaned.gateway._call import Call
 from damsonlaned.gateway._pool_client import PoolClient
+from damsonlaned.gateway._stage_attempt import StageAttempt, StageResults
 from damsonlaned.gateway._stage_orders import StageOrders
-from damsonlaned.gateway._stage_work import StageAttempt, StageResults
 
 _LOG: Final = logging.getLogger(__name__)
 
@@ -57,7 +57,7 @@
         self._client: Final = client
         self._orders: Final = StageOrders(client, locate)
 
-    async def make(self, call: Call, *, is_begun: bool = False) -> StageResults:
+    async def run(self, call: Call, *, is_begun: bool = False) -> StageResults:
         """Run all stages of a request and return their results.
 
         Args:
@@ -69,21 +69,21 @@
             StageError: a piece was too late or failed.
         """
         pieces = call.request.pieces
-        if not self.has_work(call):
+        if not self.has_stages(call):
             return StageResults()
         if len(pieces) != len(call.route.stages):
             raise StageError(f"{len(pieces)} numbers of pieces for {len(call.route.stages)} stages")
         for _ in range(MAX_ATTEMPTS):
             with contextlib.suppress(_LostInputError):
-                return await self._run_once(replace(call, is_begun=is_begun))
+                return await self._run_once(replace(call, has_response_begun=is_begun))
             _LOG.warning("stage result lost", extra=call.log_fields())
         raise StageError("results of its stages were lost repeatedly")
 
-    def has_work(self, call: Call) -> bool:
+    def has_stages(self, call: Call) -> bool:
         """Return whether a request has stages that run before it is sent."""
         return bool(call.route.stages) and any(call.request.pieces)
 
-    def expect_seconds(self, call: Call) -> float:
+    def estimate_seconds(self, call: Call) -> float:
         """Return the estimated seconds of a request's stages; 0 if it has none."""
         pieces = call.request.pieces
         if len(pieces) != len(call.route.stages):
@@ -91,11 +91,11 @@
         plan = StageProgress(call.route.stages, pieces)
         return plan.critical_path_seconds(partial(self._orders.estimate_seconds, call))
 
-    def note_first_event(self, call: Call, seconds: float) -> None:
+    def record_first_event(self, call: Call, seconds: float) -> None:
         """Record the seconds from sending a request to the first event of its answer."""
         self._orders.record_first_event(call, seconds)
 
-    def is_room_wanted(self, results: StageResults) -> bool:
+    def has_memory_contention(self, results: StageResults) -> bool:
         """Return whether pieces wait at a pool whose targets hold some of the results."""
         return any(self._client.has_queue(service) for service in _find_services(results))
 
--- a/packages/damsonlaned/src/damsonlaned/gateway/_target_notices.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_target_announcements.py
@@ -13,7 +13,7 @@
 _LOG: Final = logging.getLogger(__name__)
 
 
-class TargetNotices:
+class TargetAnnouncements:
     """Records what targets announce, for every kind of request that this box sends to them.
 
     Args:
@@ -37,7 +37,7 @@
         self._limits: Final = limits
         self._randomness: Final = random.Random()
 
-    def take(
+    def record(
         self, incarnation: TargetIncarnation, signs: AnswerSigns, *, is_work: bool = True
     ) -> None:
         """Record the signals in the head of any response.
@@ -59,9 +59,9 @@
         if signs.is_leaving and self._table.record_draining(incarnation):
             _LOG.info("target is draining", extra=fields)
             self._on_draining()
-        self._limits.take(incarnation, signs, may_end=is_work and not signs.has_not_run)
+        self._limits.process_signals(incarnation, signs, may_end=is_work and not signs.has_not_run)
 
-    def is_leaving(self, record: TargetRecord) -> bool:
+    def is_draining(self, record: TargetRecord) -> bool:
         """Return whether a target announced to this box that it shuts down."""
         return not self._table.is_empty() and self._table.is_draining(TargetIncarnation.of(record))
 
@@ -69,7 +69,7 @@
         """Return the targets that requested back-off from this box."""
         return set() if self._table.is_empty() else self._table.list_backing_off(self._clock())
 
-    def seconds_left(self, incarnation: TargetIncarnation) -> float:
+    def backoff_seconds_left(self, incarnation: TargetIncarnation) -> float:
         """Return the seconds until the back-off of a target ends; 0 if it requested none."""
         return (
             0.0 if self._table.is_empty() else self._table.seconds_left(incarnation, self._clock())
@@ -79,4 +79,4 @@
         """Drop the announcements of incarnations that control no longer lists."""
         known = [TargetIncarnation.of(record) for record in records]
         self._table.prune(known, self._clock())
-        self._limits.follow(known)
+        self._limits.forget_unlisted(known)
--- a/packages/damsonlaned/src/damsonlaned/gateway/_targets.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_target_selector.py
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Chosen:
+class ChosenTarget:
     """A target that was chosen, with the connections to it."""
 
     #: Its service.
@@ -66,12 +66,12 @@
     source_address: str = ""
 
     @property
-    def named(self) -> TargetIncarnation:
+    def incarnation(self) -> TargetIncarnation:
         """The incarnation that was chosen."""
         return TargetIncarnation(target=self.target, address=self.address, start=self.start)
 
 
-class Targets:
+class TargetSelector:
     """Chooses targets and records their health.
 
     Args:
@@ -109,7 +109,7 @@
         prompt: Prompt,
         avoid: Collection[str],
         at_rate_limit: Collection[str] = (),
-    ) -> Chosen | None:
+    ) -> ChosenTarget | None:
         """Choose a target, or return None when the service has none that may be used.
 
         Args:
@@ -119,7 +119,7 @@
             at_rate_limit: targets that get nothing now, since they are at their rate limits.
         """
         records = self._view.targets_of(service.name)
-        warming_up = self._view.list_cold(service.name)
+        warming_up = self._view.list_warming_up(service.name)
         closed = self._list_closed(records) | self._view.list_backing_off(service.name)
         excluded = {
             *closed,
@@ -150,7 +150,7 @@
 
     def _list_over_warm_up_limit(self, service: Service, warming_up: Sequence[str]) -> list[str]:
         """Return the targets that have had this entry's share of their warm-up limit."""
-        bound = self._view.find_cold_bound(service.name) if warming_up else None
+        bound = self._view.find_warmup_limit(service.name) if warming_up else None
         if bound is None:
             return []
         entries = {entry.address for entry in self._view.entries}
@@ -163,7 +163,7 @@
             name for name in warming_up if not self._warm_up_gate.admits(name, shares[name], now)
         ]
 
-    def take_placed(self, service: Service, placed: PlacedPrompt) -> Chosen | None:
+    def choose_placed(self, service: Service, placed: PlacedPrompt) -> ChosenTarget | None:
         """Return the engine at which a prompt was placed; None if this entry does not list it."""
         choice = self._table(service.name).assign(placed.target)
         if choice is None:
@@ -173,26 +173,26 @@
             chosen, placed=placed, source_address=self._find_source_address(service, placed)
         )
 
-    def take_permitted(self, service: Service, target: str) -> Chosen | None:
+    def choose_permitted(self, service: Service, target: str) -> ChosenTarget | None:
         """Return the target that a permit names; None if this entry does not list it."""
         choice = self._table(service.name).assign(target)
         return self._make_chosen(service, choice) if choice is not None else None
 
-    def give_back(self, chosen: Chosen) -> None:
+    def release_unused(self, chosen: ChosenTarget) -> None:
         """Undo the choice of a target to which nothing was sent."""
         self.finish(chosen, "neutral")
 
-    def list_limited(self, service: Service) -> dict[str, TargetIncarnation]:
+    def list_rate_limited(self, service: Service) -> dict[str, TargetIncarnation]:
         """Return the usable targets that announced a rate limit, by name."""
-        limited = self._view.list_limited(service.name)
+        limited = self._view.list_rate_limited(service.name)
         if not limited:
             return {}
         unusable = self.list_unusable(service)
         return {name: named for name, named in limited.items() if name not in unusable}
 
-    def are_all_limited(self, service: Service) -> bool:
+    def are_all_rate_limited(self, service: Service) -> bool:
         """Return whether all usable targets announced a rate limit."""
-        limited = self.list_limited(service)
+        limited = self.list_rate_limited(service)
         unusable = {*self.list_unusable(service), *limited}
         records = self._view.targets_of(service.name)
         return bool(limited) and all(record.target in unusable for record in records)
@@ -210,9 +210,9 @@
         backing_off = self._view.list_backing_off(service.name)
         return ejected | closed | backing_off | self._misdirected
 
-    def find_return_seconds(self, service: Service) -> float:
+    def find_backoff_seconds(self, service: Service) -> float:
         """Return the seconds for which all targets of a service back off; 0 if one does not."""
-        return self._view.find_return_seconds(service.name)
+        return self._view.find_backoff_seconds(service.name)
 
     def record_prompt(self, service: Service, prompt: Prompt) -> None:
         """Record the prompt of a new request, by which engines are partitioned."""
@@ -235,7 +235,7 @@
 
     def finish(
         self,
-        chosen: Chosen,
+        chosen: ChosenTarget,
         health: HealthSignal,
         *,
         load: LoadReport | None = None,
@@ -248,7 +248,7 @@
                 chosen.target, health, self._now(), report=load, pace=pace, start=chosen.start
             )
 
-    def record_signals(self, chosen: Chosen, signs: AnswerSigns, *, is_own: bool) -> None:
+    def record_signals(self, chosen: ChosenTarget, signs: AnswerSigns, *, is_own: bool) -> None:
         """Record the signals of a target in the head of a response.
 
         Args:
@@ -256,9 +256,9 @@
             signs: the signals.
             is_own: whether it is the response to the request that was just sent there.
         """
-        self._view.notices.take(chosen.named, signs, is_work=is_own)
+        self._view.announcements.record(chosen.incarnation, signs, is_work=is_own)
 
-    def record_misdirected(self, chosen: Chosen) -> None:
+    def record_misdirected(self, chosen: ChosenTarget) -> None:
         """Record that another target responds at the address of this one."""
         self._misdirected.add(chosen.target)
 
@@ -272,8 +272,8 @@
         connections.max_connections = most
         return connections
 
-    def _make_chosen(self, service: Service, choice: TargetChoice) -> Chosen:
-        return Chosen(
+    def _make_chosen(self, service: Service, choice: TargetChoice) -> ChosenTarget:
+        return ChosenTarget(
             service=service.name,
             target=choice.target,
             address=choice.address,
--- a/packages/damsonlaned/src/damsonlaned/gateway/_target_wait.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_target_wait.py
@@ -9,10 +9,10 @@
 from damsonlaned.gateway._failed_attempt import FailedAttempt
 from damsonlaned.gateway._failure_responder import FailureResponder
 from damsonlaned.gateway._final_response import FinalResponse
-from damsonlaned.gateway._limited_places import LEAST_PAUSE_SECONDS, NoPlace
-from damsonlaned.gateway._stage_work import StageResults
-from damsonlaned.gateway._stages import StageRunner
-from damsonlaned.gateway._targets import Chosen
+from damsonlaned.gateway._limited_targets import MIN_PERMIT_INTERVAL_SECONDS, NoTarget
+from damsonlaned.gateway._stage_attempt import StageResults
+from damsonlaned.gateway._stage_runner import StageRunner
+from damsonlaned.gateway._target_selector import ChosenTarget
 
 
 class TargetWait:
@@ -54,17 +54,17 @@
         """
         return await self._end_if_backed_off(results) or await self._end_if_rate_limited(results)
 
-    async def find_target(self, results: StageResults) -> Chosen | NoPlace:
+    async def find_target(self, results: StageResults) -> ChosenTarget | NoTarget:
         """Choose a target; wait for one if otherwise work for the request would be lost."""
         while True:
             chosen = await self._attempts.choose(
                 self._call, self._history.tried_targets, results.places
             )
-            if not isinstance(chosen, NoPlace) or chosen.wait_seconds <= 0:
+            if not isinstance(chosen, NoTarget) or chosen.wait_seconds <= 0:
                 return chosen
             if not self._has_progress(results) or chosen.wait_seconds >= self._max_wait_seconds():
                 return chosen
-            await asyncio.sleep(max(LEAST_PAUSE_SECONDS, chosen.wait_seconds))
+            await asyncio.sleep(max(MIN_PERMIT_INTERVAL_SECONDS, chosen.wait_seconds))
 
     async def _end_if_backed_off(self, results: StageResults | None) -> bool:
         """End the request if all targets back off for too long; return whether it ended."""
@@ -84,7 +84,7 @@
         Otherwise its stages would be computed in vain.
         """
         is_begun = results is not None or self._response.has_begun()
-        if is_begun or not self._stages.has_work(self._call):
+        if is_begun or not self._stages.has_stages(self._call):
             return False
         limited = await self._attempts.find_begin_wait(self._call)
         if limited is None:
@@ -94,7 +94,7 @@
 
     def _expected_stage_seconds(self, results: StageResults | None) -> float:
         """Return the expected time until the request is sent, which is that of its stages."""
-        return 0.0 if results is not None else self._stages.expect_seconds(self._call)
+        return 0.0 if results is not None else self._stages.estimate_seconds(self._call)
 
     def _has_progress(self, results: StageResults | None) -> bool:
         """Return whether refusing the request would lose stage results or a begun response."""
@@ -104,10 +104,10 @@
         """Return for how long the request may wait for a target."""
         if self._response.has_begun():
             return self._call.remaining()
-        return self._call.aim_at - asyncio.get_running_loop().time()
+        return self._call.objective_at - asyncio.get_running_loop().time()
 
 
-def make_no_target_failure(place: NoPlace) -> FailedAttempt:
+def make_no_target_failure(place: NoTarget) -> FailedAttempt:
     """Return the failed attempt of a request for which there is no target."""
     return FailedAttempt(
         detail=place.detail,
--- a/packages/damsonlaned/src/damsonlaned/gateway/_view.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_view.py
@@ -16,7 +16,7 @@
 from damsonlaned.clock import read_clock
 from damsonlaned.dialects import Dialect
 from damsonlaned.gateway._rate_limits import RateLimits
-from damsonlaned.gateway._target_notices import TargetNotices
+from damsonlaned.gateway._target_announcements import TargetAnnouncements
 from damsonlaned.quarantine import KnownQuarantine
 
 _LOG: Final = logging.getLogger(__name__)
@@ -57,7 +57,7 @@
         #: Rate limits that targets announced to any box.
         self.limits: Final = RateLimits(clock, self._find_service)
         #: What targets announced to this box.
-        self.notices: Final = TargetNotices(
+        self.announcements: Final = TargetAnnouncements(
             clock, lambda: len(self.entries), self._notify, self.limits
         )
         #: Entries that accept requests, including this one once control lists it.
@@ -101,17 +101,17 @@
         A target may announce its draining in a response before control reports it, or while
         control is unreachable.
         """
-        if record.standing == "leaving" or self.notices.is_leaving(record):
+        if record.standing == "leaving" or self.announcements.is_draining(record):
             return False
         return record.data_centre not in self.evacuated
 
     def list_backing_off(self, service: str) -> set[str]:
         """Return the targets of a service that requested back-off from this box."""
-        backing_off = self.notices.list_backing_off()
+        backing_off = self.announcements.list_backing_off()
         records = (self._targets[named.target] for named in backing_off if self.is_listed(named))
         return {record.target for record in records if record.service == service}
 
-    def find_return_seconds(self, service: str) -> float:
+    def find_backoff_seconds(self, service: str) -> float:
         """Return the seconds for which all targets of a service back off.
 
         0 if one of them does not, or if the service has no target.
@@ -119,16 +119,19 @@
         if not self.list_backing_off(service):
             return 0.0
         records = self.open_targets_of(service)
-        waits = [self.notices.seconds_left(TargetIncarnation.of(record)) for record in records]
+        waits = [
+            self.announcements.backoff_seconds_left(TargetIncarnation.of(record))
+            for record in records
+        ]
         return min(waits, default=0.0)
 
     def _find_service(self, named: TargetIncarnation) -> str:
         """Return the service of an incarnation that control lists, or an empty string."""
         return self._targets[named.target].service if self.is_listed(named) else ""
 
-    def list_limited(self, service: str) -> dict[str, TargetIncarnation]:
+    def list_rate_limited(self, service: str) -> dict[str, TargetIncarnation]:
         """Return the targets of a service that announced a rate limit, by name."""
-        starts = [word.named for word in self.limits.list_words()]
+        starts = [word.named for word in self.limits.list_reports()]
         listed = [named for named in starts if self.is_listed(named)]
         return {
             named.target: named
@@ -141,14 +144,14 @@
         record = self._targets.get(named.target)
         return record is not None and TargetIncarnation.of(record) == named
 
-    def find_cold_bound(self, service: str) -> WarmupLimit | None:
+    def find_warmup_limit(self, service: str) -> WarmupLimit | None:
         """Return the load limit of a service's targets during warm-up; None if there is none."""
         known = self.table.service(service) if self.table is not None else None
         if known is None or known.cold_rate <= 0:
             return None
         return self._warm_up_allowance.limit_for(known.cold_rate)
 
-    def list_cold(self, service: str) -> list[str]:
+    def list_warming_up(self, service: str) -> list[str]:
         """Return the targets of a service that are warming up."""
         now = self._clock()
         names = [name for name, until in self._warm_up_until.items() if now < until]
@@ -187,7 +190,7 @@
         for name in changes.gone:
             self._targets.pop(name, None)
         self._record_warm_up(changes.records)
-        self.notices.follow(tuple(self._targets.values()))
+        self.announcements.follow(tuple(self._targets.values()))
         _log_targets(changed, changes)
         self._notify()
 
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/fleet.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/fleet.py
@@ -8,7 +8,7 @@
 from damsonlane_rpc import RpcService
 from damsonlaned.gateway._pool_service import PoolService
 from damsonlaned.gateway.tests.harness import Entry
-from damsonlaned.gateway.tests.test_links import make_record, serve
+from damsonlaned.gateway.tests.test_links import make_box_record, serve
 from damsonlaned.tests.addresses import find_free_addresses
 
 
@@ -39,7 +39,7 @@
 
     def list_entries(self, entries: Sequence[Entry]) -> None:
         """Let control list these entries to all entries."""
-        listed = tuple(make_record(entry.address) for entry in entries)
+        listed = tuple(make_box_record(entry.address) for entry in entries)
         for entry in self.entries:
             entry.view.put_entries(listed)
 
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/harness.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/harness.py
@@ -22,25 +22,25 @@
 from damsonlaned.dialects import NativeDialect
 from damsonlaned.gateway._attempts import Attempts
 from damsonlaned.gateway._caller_service import CallerService, HandlerDependencies
-from damsonlaned.gateway._ended_targets import EndedTargets
+from damsonlaned.gateway._exit_detector import ExitDetector
 from damsonlaned.gateway._permit_client import PermitClient
 from damsonlaned.gateway._placement_client import PlacementClient
-from damsonlaned.gateway._placer import PromptPlacers
 from damsonlaned.gateway._pool_client import PoolClient
 from damsonlaned.gateway._pool_owners import PoolOwners
-from damsonlaned.gateway._stages import StageRunner
-from damsonlaned.gateway._targets import Targets
+from damsonlaned.gateway._prompt_placer import PromptPlacers
+from damsonlaned.gateway._stage_runner import StageRunner
+from damsonlaned.gateway._target_selector import TargetSelector
 from damsonlaned.gateway._view import FleetView
 from damsonlaned.http import HttpHead, HttpListener, HttpRequest, HttpResponse, ResponseWriter
 from damsonlaned.metrics import Metrics
 from damsonlaned.quarantine import LostTarget, Quarantine, QuarantineReport
 
 #: Time-out of tests, in seconds.
-PATIENCE = 20.0
+TEST_TIMEOUT_SECONDS = 20.0
 #: The key of the only organisation.
 KEY = "florists-key"
 
-Answer = Callable[[HttpRequest, ResponseWriter], Awaitable[None]]
+AnswerHandler = Callable[[HttpRequest, ResponseWriter], Awaitable[None]]
 
 ROUTE = Route(
     name="ping",
@@ -100,10 +100,10 @@
     return HttpResponse(status=status, body=detail.encode())
 
 
-class StandIn:
+class FakeTarget:
     """A target with scripted responses."""
 
-    def __init__(self, name: str, answer: Answer, service: str = "desk") -> None:
+    def __init__(self, name: str, answer: AnswerHandler, service: str = "desk") -> None:
         self.name = name
         self.service = service
         self.requests: list[HttpRequest] = []
@@ -141,7 +141,7 @@
     return (request.find(b"damsonlane-request-id") or "").encode()
 
 
-async def answer_well(request: HttpRequest, reply: ResponseWriter) -> None:
+async def answer_ok(request: HttpRequest, reply: ResponseWriter) -> None:
     headers = (
         (b"Damsonlane-Request-Id", read_id(request)),
         (b"Signature", b"of the target"),
@@ -150,7 +150,7 @@
     reply.send_response(HttpResponse(status=200, headers=headers, body=b"done"))
 
 
-def answer_with(status: int, *, has_run: bool) -> Answer:
+def answer_with(status: int, *, has_run: bool) -> AnswerHandler:
     async def answer(request: HttpRequest, reply: ResponseWriter) -> None:
         not_run_header = () if has_run else ((b"Damsonlane-Run-No", b"1"),)
         headers = (
@@ -163,15 +163,15 @@
     return answer
 
 
-async def cut(request: HttpRequest, reply: ResponseWriter) -> None:
+async def close_without_answer(request: HttpRequest, reply: ResponseWriter) -> None:
     reply.abort()
 
 
 async def hang(request: HttpRequest, reply: ResponseWriter) -> None:
-    await asyncio.sleep(PATIENCE)
+    await asyncio.sleep(TEST_TIMEOUT_SECONDS)
 
 
-def stream_events(first: int, last: int, *, is_cut: bool = False) -> Answer:
+def stream_events(first: int, last: int, *, is_cut: bool = False) -> AnswerHandler:
     """Return a handler that streams events.
 
     Args:
@@ -200,7 +200,7 @@
     return answer
 
 
-def make_pieces(address: Callable[[], str], *, seconds: float = 0.0) -> Answer:
+def make_piece_handler(address: Callable[[], str], *, seconds: float = 0.0) -> AnswerHandler:
     """Return the handler of a pool target at an address that computes every piece."""
 
     async def answer(request: HttpRequest, reply: ResponseWriter) -> None:
@@ -276,11 +276,13 @@
         dialect = NativeDialect()
         self.address = address
         self.view = FleetView(dialect)
-        targets = Targets(self.view, "gulberg", lambda: max(1, len(self.view.entries)), address)
+        targets = TargetSelector(
+            self.view, "gulberg", lambda: max(1, len(self.view.entries)), address
+        )
         self.metrics = Metrics()
         #: Targets that the entry found to have exited, with the responses lost there.
         self.exits: list[tuple[LostTarget, Sequence[InterruptedRequest]]] = []
-        self.exit_detector = EndedTargets(self.view, self._record_exit)
+        self.exit_detector = ExitDetector(self.view, self._record_exit)
         self.control = control or Control()
         self.control.views.append(self.view)
         self.quarantine = Quarantine(self.view.quarantine, self.control.submit)
@@ -290,9 +292,9 @@
         self.pools = PoolClient(self.view, self.owners, address, None)
         self.placers = PromptPlacers(self.view)
         placements = PlacementClient(self.placers, self.pools, address)
-        self.pools.take_placements = placements.take
+        self.pools.on_placements = placements.receive
         permits = PermitClient(self.view, self.pools, address)
-        self.pools.take_permits = permits.take
+        self.pools.on_permits = permits.receive
         self.attempts = Attempts(targets, placements, permits, dialect, 0.2, 10.0, slack)
         self.callers = CallerService(
             HandlerDependencies(
@@ -349,7 +351,7 @@
     ) -> Response:
         reader, writer = await self.send(path, headers=headers, deadline_ms=deadline_ms, key=key)
         data = b""
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
             try:
                 while part := await reader.read(65_536):
                     data += part
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_backoff.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_backoff.py
@@ -23,12 +23,12 @@
 from damsonlaned.gateway.tests.harness import (
     DOCUMENT,
     ROUTE,
-    Answer,
+    AnswerHandler,
     Entry,
+    FakeTarget,
     Response,
-    StandIn,
-    answer_well,
-    make_pieces,
+    answer_ok,
+    make_piece_handler,
     read_id,
     stream_events,
 )
@@ -74,7 +74,7 @@
 DRAINING_HEADERS: HeaderList = ((b"Damsonlane-Leaving", b"1"),)
 
 
-class AnnouncingTarget(StandIn):
+class AnnouncingTarget(FakeTarget):
     """A target that announces back-off or draining, and counts the requests after that.
 
     Args:
@@ -84,7 +84,9 @@
         announces_at: suffix of the paths whose responses announce it; empty for all.
     """
 
-    def __init__(self, name: str, answer: Answer, service: str, announces_at: str = "") -> None:
+    def __init__(
+        self, name: str, answer: AnswerHandler, service: str, announces_at: str = ""
+    ) -> None:
         super().__init__(name, self._answer_and_count, service)
         self._handler = answer
         self._announces_at = announces_at
@@ -102,7 +104,7 @@
     """One path to a target: the targets of an entry, and the requests that reach them."""
 
     def __init__(
-        self, path: str, announcing: AnnouncingTarget, *others: StandIn, headers: str = ""
+        self, path: str, announcing: AnnouncingTarget, *others: FakeTarget, headers: str = ""
     ) -> None:
         self.path = path
         self.announcing = announcing
@@ -110,7 +112,7 @@
         self.headers = headers
 
 
-def refuse(headers: HeaderList) -> Answer:
+def reject_with(headers: HeaderList) -> AnswerHandler:
     """Return a handler that rejects every request with some headers."""
 
     async def answer(request: HttpRequest, reply: ResponseWriter) -> None:
@@ -120,7 +122,7 @@
     return answer
 
 
-def work(headers: HeaderList) -> Answer:
+def answer_ok_with(headers: HeaderList) -> AnswerHandler:
     """Return a handler that serves every request with some headers."""
 
     async def answer(request: HttpRequest, reply: ResponseWriter) -> None:
@@ -130,7 +132,7 @@
     return answer
 
 
-def stream_with(headers: HeaderList) -> Answer:
+def stream_with(headers: HeaderList) -> AnswerHandler:
     """Return a handler that sends a complete stream with some headers."""
 
     async def answer(request: HttpRequest, reply: ResponseWriter) -> None:
@@ -144,29 +146,31 @@
     return answer
 
 
-def reject_release_calls(target: Sequence[StandIn], headers: HeaderList) -> Answer:
+def reject_release_calls(target: Sequence[FakeTarget], headers: HeaderList) -> AnswerHandler:
     """Return the handler of a pool target that computes pieces and rejects release calls."""
-    answer_pieces = make_pieces(lambda: target[0].address)
+    answer_pieces = make_piece_handler(lambda: target[0].address)
 
     async def answer(request: HttpRequest, reply: ResponseWriter) -> None:
         if request.path.endswith("/free"):
-            await refuse(headers)(request, reply)
+            await reject_with(headers)(request, reply)
         else:
             await answer_pieces(request, reply)
 
     return answer
 
 
-def make_maker(name: str) -> StandIn:
+def make_pool_target(name: str) -> FakeTarget:
     """Return a pool target that computes pieces."""
-    pool_targets: list[StandIn] = []
-    pool_targets.append(StandIn(name, make_pieces(lambda: pool_targets[0].address), "pool"))
+    pool_targets: list[FakeTarget] = []
+    pool_targets.append(
+        FakeTarget(name, make_piece_handler(lambda: pool_targets[0].address), "pool")
+    )
     return pool_targets[0]
 
 
 async def start_entry(
     test: unittest.IsolatedAsyncioTestCase,
-    *targets: StandIn,
+    *targets: FakeTarget,
     document: RoutingDocument = BACKOFF_DOCUMENT,
 ) -> tuple[Entry, list[TargetRecord]]:
     """Start targets and an entry that lists them; the test stops them."""
@@ -216,18 +220,19 @@
 
     async def test_requests_are_refused_at_once_while_all_targets_back_off(self) -> None:
         targets = [
-            AnnouncingTarget(f"t{number}", refuse(BACKOFF_HEADERS), "desk") for number in range(3)
+            AnnouncingTarget(f"t{number}", reject_with(BACKOFF_HEADERS), "desk")
+            for number in range(3)
         ]
         entry, _ = await start_entry(self, *targets)
         responses = [await entry.call("/plain/a", deadline_ms=8_000) for _ in range(REQUEST_COUNT)]
         self.assertEqual({response.status for response in responses}, {503})
         # Once each target has requested back-off, no request reaches one.
         self.assertEqual(sum(target.later_requests for target in targets), 0)
-        retry_after = [read_wait(response) for response in responses]
+        retry_after = [read_retry_after(response) for response in responses]
         self.assertGreater(min(retry_after), 500.0)
 
 
-def read_wait(response: Response) -> float:
+def read_retry_after(response: Response) -> float:
     """Return the seconds in the Retry-After header of a response."""
     _, _, remainder = response.data.partition(b"Retry-After: ")
     return float(remainder.partition(b"\r\n")[0])
@@ -241,35 +246,37 @@
     not_run_headers = _with_not_run_header(headers)
     return {
         "plain": Case(
-            "/plain/a", AnnouncingTarget("t1", refuse(headers), "desk"), StandIn("t2", answer_well)
+            "/plain/a",
+            AnnouncingTarget("t1", reject_with(headers), "desk"),
+            FakeTarget("t2", answer_ok),
         ),
         "once": Case(
             "/once/a",
-            AnnouncingTarget("t1", refuse(not_run_headers), "desk"),
+            AnnouncingTarget("t1", reject_with(not_run_headers), "desk"),
             _make_working_target("t2"),
         ),
         "resumed": Case(
             "/resumed/a",
-            AnnouncingTarget("t1", refuse(not_run_headers), "desk"),
-            StandIn("t2", stream_events(1, 2, is_cut=True)),
-            StandIn("t3", stream_events(1, 5)),
+            AnnouncingTarget("t1", reject_with(not_run_headers), "desk"),
+            FakeTarget("t2", stream_events(1, 2, is_cut=True)),
+            FakeTarget("t3", stream_events(1, 5)),
         ),
         "prompt": Case(
             "/prompt/a",
-            AnnouncingTarget("e1", refuse(not_run_headers), "model"),
-            StandIn("e2", stream_events(1, 3), "model"),
+            AnnouncingTarget("e1", reject_with(not_run_headers), "model"),
+            FakeTarget("e2", stream_events(1, 3), "model"),
         ),
         "pieces": Case(
             "/pieces/a",
-            AnnouncingTarget("p1", refuse(not_run_headers), "pool"),
-            make_maker("p2"),
+            AnnouncingTarget("p1", reject_with(not_run_headers), "pool"),
+            make_pool_target("p2"),
             _make_working_target("t2"),
             headers=ONE_PIECE,
         ),
         "freed": Case(
             "/pieces/a",
             releasing[0],
-            make_maker("f2"),
+            make_pool_target("f2"),
             _make_working_target("t2"),
             headers=ONE_PIECE,
         ),
@@ -280,18 +287,20 @@
     """Return the paths on which a target serves requests with some headers."""
     return {
         "whole": Case(
-            "/once/a", AnnouncingTarget("t1", work(headers), "desk"), _make_working_target("t2")
+            "/once/a",
+            AnnouncingTarget("t1", answer_ok_with(headers), "desk"),
+            _make_working_target("t2"),
         ),
         "stream": Case(
             "/prompt/a",
             AnnouncingTarget("e1", stream_with(headers), "model"),
-            StandIn("e2", stream_events(1, 3), "model"),
+            FakeTarget("e2", stream_events(1, 3), "model"),
         ),
     }
 
 
-def _make_working_target(name: str) -> StandIn:
-    return StandIn(name, answer_well)
+def _make_working_target(name: str) -> FakeTarget:
+    return FakeTarget(name, answer_ok)
 
 
 def _with_not_run_header(headers: HeaderList) -> HeaderList:
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_backoff_ends.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_backoff_ends.py
@@ -13,12 +13,12 @@
 from damsonlaned import clock
 from damsonlaned.dialects import AnswerSigns
 from damsonlaned.gateway.tests.harness import (
-    PATIENCE,
-    Answer,
+    TEST_TIMEOUT_SECONDS,
+    AnswerHandler,
     Entry,
-    StandIn,
-    answer_well,
-    make_pieces,
+    FakeTarget,
+    answer_ok,
+    make_piece_handler,
     read_id,
 )
 from damsonlaned.gateway.tests.test_backoff import (
@@ -26,9 +26,9 @@
     BACKOFF_HEADERS,
     DRAINING_HEADERS,
     ONE_PIECE,
-    make_maker,
-    read_wait,
-    refuse,
+    make_pool_target,
+    read_retry_after,
+    reject_with,
     start_entry,
 )
 from damsonlaned.http import HttpRequest, HttpResponse, ResponseWriter
@@ -39,7 +39,7 @@
 SUSPENDED_SECONDS = 3_600.0
 
 
-def in_turn(*answers: Answer) -> Answer:
+def in_turn(*answers: AnswerHandler) -> AnswerHandler:
     """Return a handler that uses some handlers in turn; the last one is repeated."""
     remaining = list(answers)
 
@@ -72,25 +72,27 @@
 
     async def wait_for_item(self, items: Sequence[object]) -> None:
         """Wait until a list has an item."""
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
             while not items:
                 await asyncio.sleep(0.01)
 
     async def test_a_target_is_used_again_as_soon_as_its_backoff_ends(self) -> None:
         """Three failures in a row would eject an unhealthy target for a second."""
-        target = StandIn("t1", in_turn(*[refuse(SHORT_BACKOFF_HEADERS)] * 3, answer_well))
+        target = FakeTarget("t1", in_turn(*[reject_with(SHORT_BACKOFF_HEADERS)] * 3, answer_ok))
         entry, _ = await start_entry(self, target)
         for _ in range(3):
             response = await entry.call("/plain/a")
             self.assertEqual(response.status, 503)
-            await asyncio.sleep(read_wait(response))
+            await asyncio.sleep(read_retry_after(response))
         self.assertEqual(await self.call(entry), 200)
         self.assertEqual(len(target.requests), 4)
 
     async def test_a_request_that_many_targets_reject_reaches_another_data_centre(self) -> None:
         """All five targets of the entry's own data centre request back-off."""
-        backing_off = [StandIn(f"t{number}", refuse(BACKOFF_HEADERS)) for number in range(5)]
-        working = StandIn("far", answer_well)
+        backing_off = [
+            FakeTarget(f"t{number}", reject_with(BACKOFF_HEADERS)) for number in range(5)
+        ]
+        working = FakeTarget("far", answer_ok)
         entry, records = await start_entry(self, *backing_off, working)
         far = replace(records[-1], data_centre="dha")
         entry.put_targets(*records[:-1], far)
@@ -99,7 +101,9 @@
 
     async def test_the_next_incarnation_gets_requests(self) -> None:
         for headers in (BACKOFF_HEADERS, DRAINING_HEADERS):
-            target = StandIn("t1", in_turn(refuse((*headers, *BACKOFF_HEADERS[1:])), answer_well))
+            target = FakeTarget(
+                "t1", in_turn(reject_with((*headers, *BACKOFF_HEADERS[1:])), answer_ok)
+            )
             entry, records = await start_entry(self, target)
             self.assertEqual([await self.call(entry) for _ in range(3)], [503] * 3)
             self.assertEqual(len(target.requests), 1)
@@ -107,7 +111,7 @@
             self.assertEqual(await self.call(entry), 200)
 
     async def test_backoff_does_not_apply_to_another_box(self) -> None:
-        target = StandIn("t1", in_turn(refuse(BACKOFF_HEADERS), answer_well))
+        target = FakeTarget("t1", in_turn(reject_with(BACKOFF_HEADERS), answer_ok))
         entry, records = await start_entry(self, target)
         other = Entry(BACKOFF_DOCUMENT)
         await other.start(*records)
@@ -117,13 +121,13 @@
         self.assertEqual(await self.call(entry), 503)
 
     async def test_backoff_in_a_response_to_another_request_counts(self) -> None:
-        target = StandIn("t1", answer_another_request_first)
+        target = FakeTarget("t1", answer_another_request_first)
         entry, _ = await start_entry(self, target)
         self.assertEqual([await self.call(entry) for _ in range(3)], [200, 503, 503])
         self.assertEqual(len(target.requests), 1)
 
     async def test_backoff_requested_in_a_pool_call_applies_to_plain_requests(self) -> None:
-        pool_target = StandIn("p1", refuse(BACKOFF_HEADERS), "pool")
+        pool_target = FakeTarget("p1", reject_with(BACKOFF_HEADERS), "pool")
         routes = tuple(
             replace(route, services=(replace(route.services[0], service="pool"),))
             if route.name == "plain"
@@ -131,7 +135,7 @@
             for route in BACKOFF_DOCUMENT.routes
         )
         document = replace(BACKOFF_DOCUMENT, routes=routes)
-        working = StandIn("t1", answer_well)
+        working = FakeTarget("t1", answer_ok)
         entry, _ = await start_entry(self, pool_target, working, document=document)
         self.assertEqual(await self.call(entry, "/pieces/a", ONE_PIECE), 503)
         self.assertEqual(await self.call(entry), 503)
@@ -140,15 +144,15 @@
     # Stages.
 
     async def test_a_request_is_refused_before_its_stages_run(self) -> None:
-        pool_target, target = make_maker("p1"), StandIn("t1", refuse(BACKOFF_HEADERS))
+        pool_target, target = make_pool_target("p1"), FakeTarget("t1", reject_with(BACKOFF_HEADERS))
         entry, _ = await start_entry(self, pool_target, target)
         self.assertEqual(await self.call(entry), 503)
         self.assertEqual(await self.call(entry, "/pieces/a", ONE_PIECE), 503)
         self.assertEqual(pool_target.requests, [])
 
     async def test_a_request_with_stage_results_waits_for_its_target(self) -> None:
-        pool_target = make_maker("p1")
-        target = StandIn("t1", in_turn(refuse(SHORT_BACKOFF_HEADERS), answer_well))
+        pool_target = make_pool_target("p1")
+        target = FakeTarget("t1", in_turn(reject_with(SHORT_BACKOFF_HEADERS), answer_ok))
         entry, _ = await start_entry(self, pool_target, target)
         self.assertEqual(await self.call(entry, "/pieces/a", ONE_PIECE), 200)
         made = [request for request in pool_target.requests if not request.path.endswith("/free")]
@@ -157,41 +161,41 @@
     async def test_a_request_whose_target_backs_off_too_long_is_refused_with_retry_after(
         self,
     ) -> None:
-        pool_target, target = make_maker("p1"), StandIn("t1", refuse(BACKOFF_HEADERS))
+        pool_target, target = make_pool_target("p1"), FakeTarget("t1", reject_with(BACKOFF_HEADERS))
         entry, _ = await start_entry(self, pool_target, target)
         response = await entry.call("/pieces/a", headers=ONE_PIECE, deadline_ms=8_000)
         self.assertEqual(response.status, 503)
-        self.assertGreater(read_wait(response), 500.0)
+        self.assertGreater(read_retry_after(response), 500.0)
 
     async def test_pieces_are_refused_at_once_while_all_targets_of_a_pool_back_off(self) -> None:
-        pool_target = StandIn("p1", refuse(BACKOFF_HEADERS), "pool")
-        entry, _ = await start_entry(self, pool_target, StandIn("t1", answer_well))
+        pool_target = FakeTarget("p1", reject_with(BACKOFF_HEADERS), "pool")
+        entry, _ = await start_entry(self, pool_target, FakeTarget("t1", answer_ok))
         for _ in range(3):
             response = await entry.call("/pieces/a", headers=ONE_PIECE, deadline_ms=8_000)
             self.assertEqual(response.status, 503)
-            self.assertGreater(read_wait(response), 500.0)
+            self.assertGreater(read_retry_after(response), 500.0)
         self.assertEqual(len(pool_target.requests), 1)
 
     async def test_results_are_released_once_the_backoff_of_their_pool_target_ends(self) -> None:
         released: list[str] = []
-        pool_targets: list[StandIn] = []
-        answer_piece = make_pieces(lambda: pool_targets[0].address)
+        pool_targets: list[FakeTarget] = []
+        answer_piece = make_piece_handler(lambda: pool_targets[0].address)
 
         async def answer(request: HttpRequest, reply: ResponseWriter) -> None:
             if not request.path.endswith("/free"):
-                entry.view.notices.take(incarnation, signs)
+                entry.view.announcements.record(incarnation, signs)
                 await answer_piece(request, reply)
                 return
             released.extend(json.loads(request.body).get("handles", ["?"]))
             reply.send_response(HttpResponse(status=200))
 
-        pool_targets.append(StandIn("p1", answer, "pool"))
-        entry, records = await start_entry(self, pool_targets[0], StandIn("t1", answer_well))
+        pool_targets.append(FakeTarget("p1", answer, "pool"))
+        entry, records = await start_entry(self, pool_targets[0], FakeTarget("t1", answer_ok))
         incarnation, signs = make_backoff_signals(records[0], 0.5)
         self.assertEqual(await self.call(entry, "/pieces/a", ONE_PIECE), 200)
         self.assertEqual(released, [])
         await self.wait_for_item(released)
-        self.assertEqual(entry.view.notices.seconds_left(incarnation), 0.0)
+        self.assertEqual(entry.view.announcements.backoff_seconds_left(incarnation), 0.0)
 
 
 class SuspendedTest(unittest.TestCase):
@@ -207,7 +211,7 @@
         self.assertEqual(statuses, [503, 503, 200])
 
     async def _call_before_and_after(self, passed: list[float]) -> list[int]:
-        target = StandIn("t1", in_turn(refuse(BACKOFF_HEADERS), answer_well))
+        target = FakeTarget("t1", in_turn(reject_with(BACKOFF_HEADERS), answer_ok))
         entry = Entry(BACKOFF_DOCUMENT)
         await entry.start(await target.start())
         statuses = [(await entry.call("/plain/a")).status for _ in range(2)]
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_closed_targets.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_closed_targets.py
@@ -10,16 +10,16 @@
 from damsonlane.targets import TargetChanges, TargetRecord
 from damsonlaned.dialects import NativeDialect
 from damsonlaned.gateway._placement_client import PlacedPrompt
-from damsonlaned.gateway._placer import PromptPlacer
-from damsonlaned.gateway._targets import Prompt, Targets
+from damsonlaned.gateway._prompt_placer import PromptPlacer
+from damsonlaned.gateway._target_selector import Prompt, TargetSelector
 from damsonlaned.gateway._view import FleetView
 from damsonlaned.gateway.tests.harness import (
     DOCUMENT,
     Entry,
-    StandIn,
-    answer_well,
+    FakeTarget,
+    answer_ok,
     answer_with,
-    make_pieces,
+    make_piece_handler,
 )
 
 OWN_ADDRESS = "10.9.0.1:7000"
@@ -109,7 +109,7 @@
     async def test_neither_owner_nor_entry_chooses_evacuated_engines(self) -> None:
         evacuate(self.view, 1, "gulberg")
         placer = PromptPlacer("model", TRAITS, self.view)
-        targets = Targets(self.view, "gulberg", lambda: 1)
+        targets = TargetSelector(self.view, "gulberg", lambda: 1)
         for number in range(40):
             (placement,) = placer.place("s", (order_prompt(number, f"p{number}"),))
             self.assertTrue(placement.target.startswith("dha"))
@@ -119,27 +119,27 @@
 
     async def test_prompt_segments_are_not_copied_from_evacuated_engines(self) -> None:
         evacuate(self.view, 1, "gulberg")
-        targets = Targets(self.view, "dha", lambda: 1)
+        targets = TargetSelector(self.view, "dha", lambda: 1)
         placed = PlacedPrompt.__new__(PlacedPrompt)
         vars(placed).update(target="dha-0", source="gulberg-0")
-        chosen = targets.take_placed(ENGINE, placed)
+        chosen = targets.choose_placed(ENGINE, placed)
         self.assertEqual(chosen.source_address if chosen else None, "")
 
     async def test_no_target_is_chosen_if_all_data_centres_are_evacuated(self) -> None:
         evacuate(self.view, 1, "gulberg", "dha")
-        targets = Targets(self.view, "gulberg", lambda: 1)
+        targets = TargetSelector(self.view, "gulberg", lambda: 1)
         self.assertIsNone(targets.choose(ENGINE, Prompt(), ()))
 
     async def test_targets_of_a_restored_data_centre_are_assumed_to_warm_up(self) -> None:
         evacuate(self.view, 1, "gulberg")
         evacuate(self.view, 2)
-        self.assertEqual(set(self.view.list_cold("model")), {r.target for r in self.near})
+        self.assertEqual(set(self.view.list_warming_up("model")), {r.target for r in self.near})
         self.clock.now += 3.1
-        self.assertEqual(self.view.list_cold("model"), [])
+        self.assertEqual(self.view.list_warming_up("model"), [])
 
 
 class EvacuatedRequestsTest(unittest.IsolatedAsyncioTestCase):
-    async def start(self, entry: Entry, *targets: StandIn) -> list[TargetRecord]:
+    async def start(self, entry: Entry, *targets: FakeTarget) -> list[TargetRecord]:
         records = [await target.start() for target in targets]
         for target in targets:
             self.addAsyncCleanup(target.stop)
@@ -147,11 +147,13 @@
         return records
 
     async def test_requests_retries_and_pieces_avoid_an_evacuated_data_centre_at_once(self) -> None:
-        bad = StandIn("bad", answer_with(500, has_run=True))
-        good = StandIn("good", answer_well)
-        pool_targets = [StandIn(f"maker-{n}", answer_well, "pool") for n in (0, 1)]
+        bad = FakeTarget("bad", answer_with(500, has_run=True))
+        good = FakeTarget("good", answer_ok)
+        pool_targets = [FakeTarget(f"maker-{n}", answer_ok, "pool") for n in (0, 1)]
         for pool_target in pool_targets:
-            pool_target._answer = make_pieces(lambda pool_target=pool_target: pool_target.address)  # type: ignore[misc]
+            pool_target._answer = make_piece_handler(
+                lambda pool_target=pool_target: pool_target.address  # type: ignore[misc]
+            )
         entry = Entry()
         records = await self.start(entry, bad, good, *pool_targets)
         moved_records = [replace(records[0], data_centre="dha"), records[1]]
@@ -209,7 +211,7 @@
         )
         counts: dict[str, int] = {}
         for address in addresses:
-            targets = Targets(self.view, "gulberg", lambda: 86, address)
+            targets = TargetSelector(self.view, "gulberg", lambda: 86, address)
             for number in range(5):
                 chosen = targets.choose(ENGINE, Prompt(affinity=f"p{number}", tokens=9), ())
                 assert chosen is not None
@@ -219,17 +221,17 @@
 
     async def test_warm_up_ends_after_its_time_or_when_the_target_reports_it(self) -> None:
         put(self.view, 2, replace(self.warming_up[0], cold_seconds=0.0), *self.warming_up[1:])
-        self.assertNotIn(self.warming_up[0].target, self.view.list_cold("model"))
-        self.assertIn(self.warming_up[1].target, self.view.list_cold("model"))
+        self.assertNotIn(self.warming_up[0].target, self.view.list_warming_up("model"))
+        self.assertIn(self.warming_up[1].target, self.view.list_warming_up("model"))
         self.clock.now += 3.1
-        self.assertEqual(self.view.list_cold("model"), [])
+        self.assertEqual(self.view.list_warming_up("model"), [])
 
 
 class RestartTest(unittest.IsolatedAsyncioTestCase):
     async def test_records_of_the_earlier_incarnation_are_dropped(self) -> None:
         view = make_view(Clock())
         put(view, 1, replace(RECORD, start=100))
-        targets = Targets(view, "gulberg", lambda: 1)
+        targets = TargetSelector(view, "gulberg", lambda: 1)
         first = targets.choose(ENGINE, Prompt(), ())
         assert first is not None
         targets.record_misdirected(first)
@@ -260,7 +262,7 @@
 class DocumentTest(unittest.TestCase):
     def test_services_without_warm_up_have_no_warm_up_limit(self) -> None:
         view = FleetView(NativeDialect())
-        self.assertIsNone(view.find_cold_bound(DOCUMENT.services[0].name))
+        self.assertIsNone(view.find_warmup_limit(DOCUMENT.services[0].name))
 
 
 if __name__ == "__main__":
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_ended_targets.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_ended_targets.py
@@ -9,13 +9,13 @@
 from damsonlane.backoff import TargetIncarnation
 from damsonlane.quarantine import InterruptedRequest
 from damsonlaned.dialects import AnswerSigns
-from damsonlaned.gateway._ended_targets import EndedTargets
+from damsonlaned.gateway._exit_detector import ExitDetector
 from damsonlaned.gateway.tests.harness import (
-    PATIENCE,
+    TEST_TIMEOUT_SECONDS,
     Entry,
-    StandIn,
-    answer_well,
-    cut,
+    FakeTarget,
+    answer_ok,
+    close_without_answer,
     hang,
 )
 from damsonlaned.http import HttpRequest, ResponseWriter
@@ -27,30 +27,30 @@
 class EndedTargetsTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.entry = Entry()
-        self.target = StandIn("desk-1", cut)
+        self.target = FakeTarget("desk-1", close_without_answer)
         self.record = await self.target.start()
         await self.entry.start(self.record)
         self.lost = LostTarget(target="desk-1", address=self.record.address, start=0)
-        self.detector: EndedTargets = self.entry.exit_detector
+        self.detector: ExitDetector = self.entry.exit_detector
 
     async def asyncTearDown(self) -> None:
         await self.target.stop()
         await self.entry.stop()
 
     async def test_a_target_that_listens_has_not_exited(self) -> None:
-        self.assertFalse(await self.detector.note_broken(self.lost, (RUN,)))
+        self.assertFalse(await self.detector.report_broken(self.lost, (RUN,)))
         self.assertEqual(self.entry.exits, [])
 
     async def test_a_target_that_refuses_connections_has_exited(self) -> None:
         await self.target.stop()
-        self.assertTrue(await self.detector.note_broken(self.lost, (RUN,)))
+        self.assertTrue(await self.detector.report_broken(self.lost, (RUN,)))
         self.assertEqual(self.entry.exits, [(self.lost, [RUN])])
 
     async def test_a_target_that_still_listens_for_a_moment_has_exited(self) -> None:
         """An exiting process may close its listening socket after its connections."""
-        self.assertFalse(await self.detector.note_broken(self.lost, (RUN,)))
+        self.assertFalse(await self.detector.report_broken(self.lost, (RUN,)))
         await self.target.stop()
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
             while not self.entry.exits:
                 await asyncio.sleep(0.01)
         self.assertEqual(self.entry.exits, [(self.lost, [RUN])])
@@ -59,7 +59,7 @@
         await self.target.stop()
         others = [replace(RUN, fingerprint=name) for name in ("g", "h")]
         runs = (RUN, *others)
-        await asyncio.gather(*(self.detector.note_broken(self.lost, (run,)) for run in runs))
+        await asyncio.gather(*(self.detector.report_broken(self.lost, (run,)) for run in runs))
         reported = [run for _, reported in self.entry.exits for run in reported]
         self.assertCountEqual(reported, runs)
 
@@ -69,7 +69,7 @@
         for record in (again, other):
             self.entry.exits.clear()
             self.entry.put_targets(self.record)
-            self.detector.note_silent(self.lost, (RUN,))
+            self.detector.report_silent(self.lost, (RUN,))
             self.entry.put_targets(replace(self.record, sequence=2))
             self.assertEqual(self.entry.exits, [])
             self.entry.put_targets(record)
@@ -77,11 +77,11 @@
 
     async def test_a_restart_that_is_already_listed_shows_an_exit(self) -> None:
         self.entry.put_targets(replace(self.record, start=7))
-        self.assertTrue(await self.detector.note_broken(self.lost, (RUN,)))
+        self.assertTrue(await self.detector.report_broken(self.lost, (RUN,)))
 
     async def test_a_time_out_is_no_exit(self) -> None:
         """In a network partition, requests time out at many targets that have not exited."""
-        self.detector.note_silent(self.lost, (RUN,))
+        self.detector.report_silent(self.lost, (RUN,))
         self.entry.put_targets(replace(self.record, standing="silent"))
         self.entry.put_targets()
         self.assertEqual(self.entry.exits, [])
@@ -89,9 +89,9 @@
     async def test_the_exit_of_a_draining_target_counts_against_no_request(self) -> None:
         await self.target.stop()
         self.entry.put_targets(self.record.with_standing("leaving"))
-        self.assertFalse(await self.detector.note_broken(self.lost, (RUN,)))
+        self.assertFalse(await self.detector.report_broken(self.lost, (RUN,)))
         self.entry.put_targets()
-        self.assertFalse(await self.detector.note_broken(self.lost, (RUN,)))
+        self.assertFalse(await self.detector.report_broken(self.lost, (RUN,)))
         self.assertEqual(self.entry.exits, [])
 
     async def test_the_exit_after_draining_in_a_response_counts_against_no_request(self) -> None:
@@ -99,23 +99,23 @@
         signs = AnswerSigns(
             request_id=None, has_not_run=False, load=None, is_stream=False, is_leaving=True
         )
-        self.entry.view.notices.take(TargetIncarnation.of(self.record), signs)
+        self.entry.view.announcements.record(TargetIncarnation.of(self.record), signs)
         await self.target.stop()
-        self.assertFalse(await self.detector.note_broken(self.lost, (RUN,)))
+        self.assertFalse(await self.detector.report_broken(self.lost, (RUN,)))
         self.assertEqual(self.entry.exits, [])
 
 
 class LogTest(unittest.IsolatedAsyncioTestCase):
     async def test_the_log_names_the_requests_under_which_a_target_exited(self) -> None:
-        targets: list[StandIn] = []
+        targets: list[FakeTarget] = []
 
         async def exit_under_request(request: HttpRequest, reply: ResponseWriter) -> None:
             asyncio.get_running_loop().create_task(targets[0].stop())
             await hang(request, reply)
 
         entry = Entry()
-        targets.append(StandIn("desk-1", exit_under_request))
-        other = StandIn("desk-2", answer_well)
+        targets.append(FakeTarget("desk-1", exit_under_request))
+        other = FakeTarget("desk-2", answer_ok)
         records = [await targets[0].start(), await other.start()]
         await entry.start(records[0])
         with self.assertLogs(level=logging.INFO) as logs:
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_gateway.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_gateway.py
@@ -16,15 +16,15 @@
 from damsonlaned.gateway import _attempts
 from damsonlaned.gateway.tests.harness import (
     DOCUMENT,
-    PATIENCE,
-    Answer,
+    TEST_TIMEOUT_SECONDS,
+    AnswerHandler,
     Entry,
-    StandIn,
-    answer_well,
+    FakeTarget,
+    answer_ok,
     answer_with,
-    cut,
+    close_without_answer,
     hang,
-    make_pieces,
+    make_piece_handler,
     stream_events,
 )
 from damsonlaned.http import HttpRequest, ResponseWriter
@@ -37,7 +37,7 @@
     name: str
     path: str
     #: Handlers of the first target that is tried, and of the second.
-    answers: tuple[Answer, Answer]
+    answers: tuple[AnswerHandler, AnswerHandler]
     status: int
     #: Number of requests at both targets together.
     sent: int
@@ -45,13 +45,19 @@
 
 
 CASES = (
-    Case(name="well", path="/ping/a", answers=(answer_well, answer_well), status=200, sent=1),
-    Case(name="safe, cut", path="/ping/a", answers=(cut, answer_well), status=200, sent=2),
-    Case(name="safe, silent", path="/ping/a", answers=(hang, answer_well), status=200, sent=2),
+    Case(name="well", path="/ping/a", answers=(answer_ok, answer_ok), status=200, sent=1),
+    Case(
+        name="safe, cut",
+        path="/ping/a",
+        answers=(close_without_answer, answer_ok),
+        status=200,
+        sent=2,
+    ),
+    Case(name="safe, silent", path="/ping/a", answers=(hang, answer_ok), status=200, sent=2),
     Case(
         name="safe, failed",
         path="/ping/a",
-        answers=(answer_with(500, has_run=True), answer_well),
+        answers=(answer_with(500, has_run=True), answer_ok),
         status=200,
         sent=2,
     ),
@@ -62,19 +68,31 @@
         status=500,
         sent=2,
     ),
-    Case(name="safe, cut twice", path="/ping/a", answers=(cut, cut), status=502, sent=2),
-    Case(name="once, cut: it may have run", path="/once/a", answers=(cut, cut), status=502, sent=1),
+    Case(
+        name="safe, cut twice",
+        path="/ping/a",
+        answers=(close_without_answer, close_without_answer),
+        status=502,
+        sent=2,
+    ),
+    Case(
+        name="once, cut: it may have run",
+        path="/once/a",
+        answers=(close_without_answer, close_without_answer),
+        status=502,
+        sent=1,
+    ),
     Case(
         name="once, failed: it has run",
         path="/once/a",
-        answers=(answer_with(500, has_run=True), answer_well),
+        answers=(answer_with(500, has_run=True), answer_ok),
         status=500,
         sent=1,
     ),
     Case(
         name="once, rejected: it has not run, so it may be retried",
         path="/once/a",
-        answers=(answer_with(503, has_run=False), answer_well),
+        answers=(answer_with(503, has_run=False), answer_ok),
         status=200,
         sent=2,
     ),
@@ -88,14 +106,14 @@
     Case(
         name="once, rejected by one target with 429, which has not run it",
         path="/once/a",
-        answers=(answer_with(429, has_run=False), answer_well),
+        answers=(answer_with(429, has_run=False), answer_ok),
         status=200,
         sent=2,
     ),
     Case(
         name="once, another target at the address",
         path="/once/a",
-        answers=(answer_with(421, has_run=False), answer_well),
+        answers=(answer_with(421, has_run=False), answer_ok),
         status=200,
         sent=2,
     ),
@@ -122,7 +140,7 @@
 )
 
 
-def answer_in_turn(answers: list[Answer]) -> Answer:
+def answer_in_turn(answers: list[AnswerHandler]) -> AnswerHandler:
     """Return a handler that uses some handlers in turn; the last one is repeated."""
 
     async def answer(request: HttpRequest, reply: ResponseWriter) -> None:
@@ -134,7 +152,7 @@
 
 class GatewayTest(unittest.IsolatedAsyncioTestCase):
     async def start_entry(
-        self, *stand_ins: StandIn, document: RoutingDocument = DOCUMENT, slack: float = 20.0
+        self, *stand_ins: FakeTarget, document: RoutingDocument = DOCUMENT, slack: float = 20.0
     ) -> Entry:
         entry = Entry(document, slack=slack)
         records = []
@@ -152,7 +170,7 @@
                 answers = list(case.answers)
 
                 answer = answer_in_turn(answers)
-                targets = [StandIn("t1", answer), StandIn("t2", answer)]
+                targets = [FakeTarget("t1", answer), FakeTarget("t2", answer)]
                 entry = await self.start_entry(*targets)
                 response = await entry.call(case.path, deadline_ms=case.deadline_ms)
                 self.assertEqual(response.status, case.status)
@@ -163,7 +181,7 @@
                 self.assertEqual(b"Retry-After" in response.data, case.status == 503)
 
     async def test_a_target_gets_the_request_of_the_caller_and_the_time_left(self) -> None:
-        target = StandIn("t1", answer_well)
+        target = FakeTarget("t1", answer_ok)
         entry = await self.start_entry(target)
         headers = "X-Own: kept\r\nDamsonlane-Organisation: forged\r\nDamsonlane-Target: forged\r\n"
         await entry.call("/once/a/b?c=d", headers=headers)
@@ -176,7 +194,7 @@
         self.assertLessEqual(int(request.find(b"damsonlane-deadline-ms") or 0), 2000)
 
     async def test_requests_that_are_not_allowed_are_refused_and_not_sent(self) -> None:
-        target = StandIn("t1", answer_well)
+        target = FakeTarget("t1", answer_ok)
         entry = await self.start_entry(target)
         cases = (("/none/a", "florists-key", 404), ("/ping/a", "other", 401), ("/ping/a", "", 401))
         for path, key, status in cases:
@@ -186,10 +204,10 @@
         self.assertEqual((await entry.call("/open/a", key="")).status, 200)
 
     async def test_the_target_is_released_when_the_caller_disconnects(self) -> None:
-        target = StandIn("t1", hang)
+        target = FakeTarget("t1", hang)
         entry = await self.start_entry(target)
         _, writer = await entry.send("/once/a")
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
             while not target.requests:
                 await asyncio.sleep(0.01)
             writer.close()
@@ -198,7 +216,7 @@
                 await asyncio.sleep(0.01)
 
     async def test_draining_targets_get_no_new_requests(self) -> None:
-        first, second = StandIn("t1", answer_well), StandIn("t2", answer_well)
+        first, second = FakeTarget("t1", answer_ok), FakeTarget("t2", answer_ok)
         records = [await first.start(), await second.start()]
         self.addAsyncCleanup(first.stop)
         self.addAsyncCleanup(second.stop)
@@ -210,10 +228,10 @@
         self.assertEqual((len(first.requests), len(second.requests)), (0, 6))
 
     async def test_retries_stop_when_their_budget_is_exhausted(self) -> None:
-        targets = [StandIn("t1", cut), StandIn("t2", cut)]
+        targets = [FakeTarget("t1", close_without_answer), FakeTarget("t2", close_without_answer)]
         entry = await self.start_entry(*targets, slack=0.0)
         # On a busy machine, a connect time-out would consume the retry without a request.
-        with mock.patch.object(_attempts, "CONNECT_SECONDS", PATIENCE):
+        with mock.patch.object(_attempts, "CONNECT_SECONDS", TEST_TIMEOUT_SECONDS):
             for _ in range(10):
                 await entry.call("/ping/a")
         # Ten first attempts allow one retry: seven tenths of a fifth of them.
@@ -222,7 +240,7 @@
     # Event streams.
 
     async def test_a_stream_is_forwarded_completely(self) -> None:
-        entry = await self.start_entry(StandIn("t1", stream_events(1, 3)))
+        entry = await self.start_entry(FakeTarget("t1", stream_events(1, 3)))
         response = await entry.call("/chat/a")
         self.assertTrue(response.is_whole())
         for number in (1, 2, 3):
@@ -231,7 +249,7 @@
     async def test_a_broken_stream_is_resumed_where_it_broke(self) -> None:
         broken, whole = stream_events(1, 2, is_cut=True), stream_events(1, 5)
         answer = answer_in_turn([broken, whole])
-        targets = [StandIn("t1", answer), StandIn("t2", answer)]
+        targets = [FakeTarget("t1", answer), FakeTarget("t2", answer)]
         entry = await self.start_entry(*targets)
         response = await entry.call("/chat/a")
         self.assertTrue(response.is_whole())
@@ -244,7 +262,7 @@
         self.assertIn(resumed.find(b"last-event-id"), ("2", None))
 
     async def test_a_stream_that_may_not_be_resumed_is_cut_after_its_last_whole_event(self) -> None:
-        target = StandIn("t1", stream_events(1, 2, is_cut=True))
+        target = FakeTarget("t1", stream_events(1, 2, is_cut=True))
         entry = await self.start_entry(target)
         response = await entry.call("/draft/a")
         self.assertFalse(response.is_whole())
@@ -255,29 +273,29 @@
     # Stages.
 
     async def test_stages_run_in_order_and_their_results_are_released(self) -> None:
-        desk = StandIn("t1", answer_well)
-        pool = StandIn("p1", make_pieces(lambda: pool.address), "pool")
+        desk = FakeTarget("t1", answer_ok)
+        pool = FakeTarget("p1", make_piece_handler(lambda: pool.address), "pool")
         entry = await self.start_entry(desk, pool)
         headers = "Damsonlane-Pieces: 2,1\r\nDamsonlane-Material-Key: m\r\n"
         response = await entry.call("/staged/a", headers=headers)
         self.assertEqual(response.status, 200)
         self.assertEqual(desk.requests[0].find(b"damsonlane-inputs"), f"{pool.address}/r1-1-0")
         # Results released within a few milliseconds share a call, so the number of calls varies.
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
             while len(self._find_released(pool)) < 3:
                 await asyncio.sleep(0.01)
         handles = [f"{pool.address}/r1-{name}" for name in ("0-0", "0-1", "1-0")]
         self.assertEqual(sorted(self._find_released(pool)), handles)
 
-    def _find_released(self, pool: StandIn) -> list[str]:
+    def _find_released(self, pool: FakeTarget) -> list[str]:
         """Return the handles released at a pool target, once for each release."""
         calls = [request for request in pool.requests if request.path.endswith("/free")]
         return [handle for call in calls for handle in json.loads(call.body)["handles"]]
 
     async def test_stages_of_a_broken_stream_are_recomputed_after_the_objective(self) -> None:
         answer = answer_in_turn([stream_events(1, 2, is_cut=True), stream_events(1, 4)])
-        pool = StandIn("p1", make_pieces(lambda: pool.address), "pool")
-        entry = await self.start_entry(StandIn("t1", answer), StandIn("t2", answer), pool)
+        pool = FakeTarget("p1", make_piece_handler(lambda: pool.address), "pool")
+        entry = await self.start_entry(FakeTarget("t1", answer), FakeTarget("t2", answer), pool)
         aim_seconds: list[float] = []
         order_pieces = entry.pools.order
 
@@ -297,19 +315,19 @@
         self.assertGreater(aim_seconds[1], 0.5)
 
     async def test_stages_that_fail_after_a_broken_run_give_no_guarantee(self) -> None:
-        pieces = make_pieces(lambda: pool.address)
+        pieces = make_piece_handler(lambda: pool.address)
         pool_answer = answer_in_turn([pieces, answer_with(500, has_run=True)])
-        pool = StandIn("p1", pool_answer, "pool")
-        answer = answer_in_turn([cut, answer_with(409, has_run=False)])
-        entry = await self.start_entry(StandIn("t1", answer), StandIn("t2", answer), pool)
+        pool = FakeTarget("p1", pool_answer, "pool")
+        answer = answer_in_turn([close_without_answer, answer_with(409, has_run=False)])
+        entry = await self.start_entry(FakeTarget("t1", answer), FakeTarget("t2", answer), pool)
         headers = "Damsonlane-Pieces: 1\r\nDamsonlane-Material-Key: m\r\n"
         response = await entry.call("/staged-chat/a", headers=headers)
         self.assertEqual(response.status, 502)
         self.assertIn(b'"run": "unknown"', response.data)
 
     async def test_a_request_whose_stages_fail_is_refused_and_has_not_run(self) -> None:
-        desk = StandIn("t1", answer_well)
-        pool = StandIn("p1", answer_with(500, has_run=True), "pool")
+        desk = FakeTarget("t1", answer_ok)
+        pool = FakeTarget("p1", answer_with(500, has_run=True), "pool")
         entry = await self.start_entry(desk, pool)
         headers = "Damsonlane-Pieces: 1,1\r\nDamsonlane-Material-Key: m\r\n"
         response = await entry.call("/staged/a", headers=headers, deadline_ms=700)
@@ -317,7 +335,7 @@
         self.assertEqual(desk.requests, [])
 
     async def test_an_entry_that_control_does_not_list_owns_no_pool(self) -> None:
-        entry = await self.start_entry(StandIn("t1", answer_well))
+        entry = await self.start_entry(FakeTarget("t1", answer_ok))
         self.assertEqual(entry.pools.find_owner("pool"), "127.0.0.1:9")
         entry.view.put_entries((OTHER_ENTRY,))
         self.assertEqual(entry.pools.find_owner("pool"), OTHER_ENTRY.address)
@@ -325,9 +343,9 @@
         self.assertEqual(entry.pools.find_owner("pool"), "127.0.0.1:9")
 
     async def test_a_slow_pool_target_gets_no_calls_while_others_work(self) -> None:
-        slow = StandIn("p1", make_pieces(lambda: slow.address, seconds=0.4), "pool")
-        quick = StandIn("p2", make_pieces(lambda: quick.address), "pool")
-        entry = await self.start_entry(StandIn("t1", answer_well), slow, quick)
+        slow = FakeTarget("p1", make_piece_handler(lambda: slow.address, seconds=0.4), "pool")
+        quick = FakeTarget("p2", make_piece_handler(lambda: quick.address), "pool")
+        entry = await self.start_entry(FakeTarget("t1", answer_ok), slow, quick)
         headers = "Damsonlane-Pieces: 1,0\r\nDamsonlane-Material-Key: m\r\n"
         for _ in range(12):
             await entry.call("/staged/a", headers=headers)
@@ -337,7 +355,7 @@
     # Documents.
 
     async def test_an_older_document_never_replaces_a_newer_one(self) -> None:
-        entry = await self.start_entry(StandIn("t1", answer_well))
+        entry = await self.start_entry(FakeTarget("t1", answer_ok))
         newer = replace(DOCUMENT, version=5, routes=())
         for document in (newer, DOCUMENT):
             text = encode_bytes(document, RoutingDocument)
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_links.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_links.py
@@ -28,17 +28,17 @@
 )
 from damsonlaned.dialects import NativeDialect
 from damsonlaned.gateway._control_follower import ControlFollower
-from damsonlaned.gateway._placer import PromptPlacers
 from damsonlaned.gateway._pool_service import PoolService
+from damsonlaned.gateway._prompt_placer import PromptPlacers
 from damsonlaned.gateway._view import FleetView
 from damsonlaned.gateway.tests.harness import (
     DOCUMENT,
-    PATIENCE,
+    TEST_TIMEOUT_SECONDS,
     Entry,
-    StandIn,
-    answer_well,
+    FakeTarget,
+    answer_ok,
     hang,
-    make_pieces,
+    make_piece_handler,
 )
 from damsonlaned.tests.addresses import find_free_address
 
@@ -60,8 +60,8 @@
     test.addAsyncCleanup(stop)
 
 
-async def wait(holds: Callable[[], bool]) -> None:
-    async with asyncio.timeout(PATIENCE):
+async def wait_until(holds: Callable[[], bool]) -> None:
+    async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
         while not holds():
             await asyncio.sleep(0.02)
 
@@ -123,24 +123,24 @@
         self.first.version = 3
         self.second.version = 2
         self.follower.start()
-        await wait(lambda: self.second.followers == 1)
-        await wait(lambda: self.view.version() == 2)
+        await wait_until(lambda: self.second.followers == 1)
+        await wait_until(lambda: self.view.version() == 2)
         # The first has fresh state now, and the second becomes stale.
         self.first.state_age = 0.0
         self.second.state_age = 9.0
-        await wait(lambda: self.first.followers == 1)
-        await wait(lambda: self.view.version() == 3)
+        await wait_until(lambda: self.first.followers == 1)
+        await wait_until(lambda: self.view.version() == 3)
 
     async def test_it_leaves_a_replica_that_sends_nothing(self) -> None:
         self.first.version = self.second.version = 2
         self.follower.start()
-        await wait(lambda: self.view.version() == 2)
+        await wait_until(lambda: self.view.version() == 2)
         followed, other = (
             (self.first, self.second) if self.first.followers else (self.second, self.first)
         )
         followed.is_silent = True
         other.version = 3
-        await wait(lambda: self.view.version() == 3)
+        await wait_until(lambda: self.view.version() == 3)
 
     async def test_a_starting_entry_accepts_no_stale_state(self) -> None:
         for control in (self.first, self.second):
@@ -150,12 +150,12 @@
         await asyncio.sleep(0.6)
         self.assertIsNone(self.view.table)
         self.second.state_age = 0.0
-        await wait(lambda: self.view.version() == 2)
+        await wait_until(lambda: self.view.version() == 2)
 
     async def test_an_older_version_is_ignored(self) -> None:
         self.first.version = self.second.version = 5
         self.follower.start()
-        await wait(lambda: self.view.version() == 5)
+        await wait_until(lambda: self.view.version() == 5)
         self.first.version = self.second.version = 4
         self.first.is_silent = self.second.is_silent = True
         await asyncio.sleep(0.6)
@@ -179,7 +179,7 @@
 )
 
 
-def make_record(address: str, standing: str = "live") -> BoxRecord:
+def make_box_record(address: str, standing: str = "live") -> BoxRecord:
     return BoxRecord(
         box=address,
         incarnation="i",
@@ -193,10 +193,10 @@
 
 class PoolLinkTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        self.pool = StandIn("p1", make_pieces(lambda: self.pool.address), "pool")
+        self.pool = FakeTarget("p1", make_piece_handler(lambda: self.pool.address), "pool")
         record = await self.pool.start()
         self.addAsyncCleanup(self.pool.stop)
-        desk = StandIn("t1", answer_well)
+        desk = FakeTarget("t1", answer_ok)
         desk_record = await desk.start()
         self.addAsyncCleanup(desk.stop)
         self.orderer, self.owner = Entry(), Entry()
@@ -215,21 +215,21 @@
             self.owner.owners, PromptPlacers(self.owner.view), self.owner.view.limits
         )
         await serve(self, self.address, RpcService(dict(service.handlers())))
-        self.orderer.view.put_entries((make_record(self.address),))
-        async with asyncio.timeout(PATIENCE):
+        self.orderer.view.put_entries((make_box_record(self.address),))
+        async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
             results = await asyncio.gather(*self.order(6))
         self.assertEqual(len({result.handle for result in results}), 6)  # type: ignore[attr-defined]
         # A call has up to four pieces, so six pieces need two calls.
         self.assertEqual(len(self.pool.requests), 2)
 
     def has_metric(self, line: str) -> bool:
-        self.orderer.owners.count_waiting()
+        self.orderer.owners.update_metrics()
         return line in self.orderer.metrics.render().decode().splitlines()
 
     async def test_an_owner_counts_the_outcomes_of_pieces(self) -> None:
         self.orderer.view.put_entries(())
         late = replace(ORDER, request="r2", left_seconds=0.0)
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
             await asyncio.gather(*self.order(6), *self.orderer.pools.order("pool", [late]))
         for line in (
             'damsonlane_pool_pieces_total{outcome="late",service="pool"} 1',
@@ -238,12 +238,14 @@
             'damsonlane_pool_waiting{service="pool"} 0',
         ):
             with self.subTest(line):
-                await wait(partial(self.has_metric, line))
+                await wait_until(partial(self.has_metric, line))
 
     async def test_pieces_are_ordered_again_if_their_owner_is_unreachable(self) -> None:
-        self.orderer.view.put_entries((make_record(self.address), make_record("127.0.0.1:9")))
+        self.orderer.view.put_entries(
+            (make_box_record(self.address), make_box_record("127.0.0.1:9"))
+        )
         with mock.patch.object(self.orderer.pools, "find_owner", self._find_gone_owner_first()):
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
                 results = await asyncio.gather(*self.order(2))
         self.assertTrue(all(result.handle for result in results))  # type: ignore[attr-defined]
 
@@ -253,15 +255,17 @@
                 pass
 
         await serve(self, self.address, RpcService({POOL.path: POOL.handler(swallow)}))
-        self.orderer.view.put_entries((make_record(self.address), make_record("127.0.0.1:9")))
+        self.orderer.view.put_entries(
+            (make_box_record(self.address), make_box_record("127.0.0.1:9"))
+        )
         with mock.patch.object(self.orderer.pools, "find_owner", self._find_gone_owner_first()):
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
                 results = await asyncio.gather(*self.order(2))
         self.assertTrue(all(result.handle for result in results))  # type: ignore[attr-defined]
 
     async def test_a_restarted_owner_is_used_again(self) -> None:
-        other = make_record("127.0.0.1:9")
-        first = make_record(self.address)
+        other = make_box_record("127.0.0.1:9")
+        first = make_box_record(self.address)
         cases = (
             ("it is still listed", (first, other), (first, other), "127.0.0.1:9"),
             ("it restarted", (first, other), (replace(first, incarnation="j"), other), None),
@@ -274,7 +278,7 @@
                 entry.view.put_entries(before)
                 pools._links[self.address] = mock.Mock()
                 with mock.patch.object(_owners, "_weigh", self._weigh_owner_most):
-                    pools.lose_owner(self.address, (), "the stream ended")
+                    pools.handle_lost_owner(self.address, (), "the stream ended")
                     entry.view.put_entries(after)
                     self.assertEqual(pools.find_owner("pool"), owner or self.address)
 
@@ -286,17 +290,17 @@
             self.owner.owners, PromptPlacers(self.owner.view), self.owner.view.limits
         )
         await serve(self, self.address, RpcService(dict(service.handlers())))
-        self.owner.view.put_entries((make_record(self.address),))
-        self.orderer.view.put_entries((make_record(self.address),))
-        self.pool._answer = make_pieces(lambda: self.pool.address, seconds=0.3)
+        self.owner.view.put_entries((make_box_record(self.address),))
+        self.orderer.view.put_entries((make_box_record(self.address),))
+        self.pool._answer = make_piece_handler(lambda: self.pool.address, seconds=0.3)
         # A call has up to four pieces, so eight of them are queued at the owner.
         futures = self.order(12)
-        await wait(lambda: len(self.pool.requests) == 1)
+        await wait_until(lambda: len(self.pool.requests) == 1)
         # The orderer itself owns the pool now.
         own_address = self.orderer.pools._address
         with mock.patch.object(self.orderer.pools, "find_owner", return_value=own_address):
-            self.owner.owners.get("pool").hand_over()
-            async with asyncio.timeout(PATIENCE):
+            self.owner.owners.get("pool").return_waiting()
+            async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
                 results = await asyncio.gather(*futures)
         self.assertEqual(len({result.handle for result in results}), 12)  # type: ignore[attr-defined]
 
@@ -304,10 +308,10 @@
         self.pool._answer = hang
         self.orderer.view.put_entries(())
         self.order(4)
-        await wait(lambda: len(self.pool.requests) == 1)
+        await wait_until(lambda: len(self.pool.requests) == 1)
         order = replace(ORDER, request="r2", left_seconds=0.2)
         waiting = self.orderer.pools.order("pool", [order])
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
             result = await waiting[0]
         self.assertEqual(result.fault, "late")
         # The call of the other pieces is still in progress.
@@ -319,9 +323,9 @@
             with self.subTest(name):
                 pools = self.orderer.pools
                 handed_over = mock.Mock()
-                pools._owners.get("pool").hand_over = handed_over  # type: ignore[method-assign]
+                pools._owners.get("pool").return_waiting = handed_over  # type: ignore[method-assign]
                 address = owner or pools._address
-                self.orderer.view.put_entries((make_record(address),))
+                self.orderer.view.put_entries((make_box_record(address),))
                 self.assertEqual(handed_over.call_count, expected)
 
     async def test_a_cancelled_piece_is_not_computed(self) -> None:
@@ -330,7 +334,7 @@
         busy = self.order(1)
         for future in busy:
             future.cancel()
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
             await asyncio.gather(*futures)
             await asyncio.sleep(0.3)
         self.assertEqual(len(self.pool.requests), 1)
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_placement.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_placement.py
@@ -13,10 +13,10 @@
 from damsonlane_rpc import POOL, PoolOrders, PoolResults, RpcService
 from damsonlaned.gateway import _placement_client
 from damsonlaned.gateway._placement_client import PlacedPrompt, PlacementClient
-from damsonlaned.gateway._placer import PromptPlacers
 from damsonlaned.gateway._pool_service import PoolService
-from damsonlaned.gateway.tests.harness import DOCUMENT, PATIENCE, Entry
-from damsonlaned.gateway.tests.test_links import make_record, serve, wait
+from damsonlaned.gateway._prompt_placer import PromptPlacers
+from damsonlaned.gateway.tests.harness import DOCUMENT, TEST_TIMEOUT_SECONDS, Entry
+from damsonlaned.gateway.tests.test_links import make_box_record, serve, wait_until
 from damsonlaned.tests.addresses import find_free_address
 
 ENGINES = RouteService(
@@ -56,8 +56,8 @@
         self.client = PlacementClient(
             PromptPlacers(self.asker.view), self.asker.pools, "127.0.0.1:9"
         )
-        self.asker.pools.take_placements = self.client.take
-        self.asker.view.put_entries((make_record(self.address),))
+        self.asker.pools.on_placements = self.client.receive
+        self.asker.view.put_entries((make_box_record(self.address),))
 
     async def serve(self) -> None:
         service = PoolService(self.owner.owners, self.placers, self.owner.view.limits)
@@ -65,7 +65,7 @@
 
     async def test_another_entry_chooses_a_live_engine(self) -> None:
         await self.serve()
-        with mock.patch.object(_placement_client, "ANSWER_SECONDS", PATIENCE):
+        with mock.patch.object(_placement_client, "ANSWER_SECONDS", TEST_TIMEOUT_SECONDS):
             placed = await self.client.place("engines", ORDER)
             none = await self.client.place("engines", replace(ORDER, avoid=("one",)))
         assert placed is not None
@@ -78,7 +78,7 @@
             with self.subTest(source=source):
                 placement = Placement(number=1, target="three", source=source)
                 placed = PlacedPrompt(self.client, self.address, "engines", placement)
-                chosen = targets.take_placed(ENGINES, placed)
+                chosen = targets.choose_placed(ENGINES, placed)
                 assert chosen is not None
                 self.assertEqual(chosen.source_address, address)
 
@@ -87,14 +87,14 @@
         placer = self.placers.find("engines")
         assert placer is not None
         with (
-            mock.patch.object(_placement_client, "ANSWER_SECONDS", PATIENCE),
+            mock.patch.object(_placement_client, "ANSWER_SECONDS", TEST_TIMEOUT_SECONDS),
             mock.patch.object(placer, "record_reads") as record_reads,
         ):
             placed = await self.client.place("engines", ORDER)
             assert placed is not None
-            placed.note_read(0.2)
-            placed.note_read(None)
-            await wait(lambda: any(call.args[1] for call in record_reads.mock_calls))
+            placed.report_read(0.2)
+            placed.report_read(None)
+            await wait_until(lambda: any(call.args[1] for call in record_reads.mock_calls))
         reads = [read for call in record_reads.mock_calls for read in call.args[1]]
         self.assertEqual([read.seconds for read in reads], [0.2])
 
@@ -107,18 +107,18 @@
 
         await serve(self, self.address, RpcService({POOL.path: POOL.handler(ignore)}))
         self.assertIsNone(await self.client.place("engines", ORDER))
-        await wait(lambda: bool(asked))
+        await wait_until(lambda: bool(asked))
         self.assertIsNone(await self.client.place("engines", ORDER))
         self.assertEqual(len(asked), 1)
 
     async def test_entry_that_owns_the_engines_places_prompts_locally(self) -> None:
-        self.asker.view.put_entries((make_record("127.0.0.1:9"),))
+        self.asker.view.put_entries((make_box_record("127.0.0.1:9"),))
         placed = await self.client.place("engines", ORDER)
         assert placed is not None
         self.assertEqual(placed.target, "one")
 
     async def test_prompts_of_services_without_engines_are_not_placed(self) -> None:
-        self.asker.view.put_entries((make_record("127.0.0.1:9"),))
+        self.asker.view.put_entries((make_box_record("127.0.0.1:9"),))
         self.assertIsNone(await self.client.place("desk", ORDER))
 
 
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_quarantine.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_quarantine.py
@@ -15,15 +15,15 @@
 from damsonlane.targets import TargetRecord
 from damsonlaned.gateway._pool_owner import PoolOwner
 from damsonlaned.gateway.tests.harness import (
-    PATIENCE,
-    Answer,
+    TEST_TIMEOUT_SECONDS,
+    AnswerHandler,
     Control,
     Entry,
+    FakeTarget,
     Response,
-    StandIn,
-    answer_well,
+    answer_ok,
     hang,
-    make_pieces,
+    make_piece_handler,
     stream_events,
 )
 from damsonlaned.http import HttpRequest, ResponseWriter
@@ -34,7 +34,7 @@
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
         while not condition():
             await asyncio.sleep(0.005)
 
@@ -42,10 +42,10 @@
 class Fleet:
     """Two entries with one control, and targets that exit and are replaced."""
 
-    def __init__(self, default_answer: Answer = answer_well) -> None:
+    def __init__(self, default_answer: AnswerHandler = answer_ok) -> None:
         self.control = Control()
         self.entries = [Entry(control=self.control) for _ in range(2)]
-        self.targets: dict[str, StandIn] = {}
+        self.targets: dict[str, FakeTarget] = {}
         self.records: dict[str, TargetRecord] = {}
         #: Targets that exited.
         self.exited: list[str] = []
@@ -82,7 +82,7 @@
             self._exit(name)
             await hang(request, reply)
 
-        self.targets[name] = StandIn(name, answer, service)
+        self.targets[name] = FakeTarget(name, answer, service)
         self.records[name] = await self.targets[name].start()
 
     def _exit(self, name: str) -> None:
@@ -212,7 +212,7 @@
         self.fleet._default_answer = cut
         for number in range(8):
             await self.fleet.send(number, "/once/a")
-        self.fleet._default_answer = answer_well
+        self.fleet._default_answer = answer_ok
         self.assertEqual((await self.fleet.send(0, "/once/a")).status, 200)
 
     async def test_an_older_list_is_ignored(self) -> None:
@@ -225,10 +225,10 @@
 
 class QuarantinedPieceTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        self.fleet = Fleet(make_pieces(lambda: "127.0.0.1:1"))
+        self.fleet = Fleet(make_piece_handler(lambda: "127.0.0.1:1"))
         self.fleet.is_deadly = self._has_deadly_piece
         await self.fleet.start(4, "pool")
-        desk = StandIn("desk-1", answer_well)
+        desk = FakeTarget("desk-1", answer_ok)
         self.fleet.targets["desk-1"] = desk
         self.fleet.records["desk-1"] = await desk.start()
         await self.fleet.replace_exited()
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_rate_limits.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_rate_limits.py
@@ -11,20 +11,20 @@
 from damsonlane.targets import TargetRecord
 from damsonlaned.gateway.tests.fleet import Fleet
 from damsonlaned.gateway.tests.harness import (
-    Answer,
+    AnswerHandler,
     Entry,
-    StandIn,
-    answer_well,
-    cut,
-    make_pieces,
+    FakeTarget,
+    answer_ok,
+    close_without_answer,
+    make_piece_handler,
     read_id,
     stream_events,
 )
 from damsonlaned.gateway.tests.test_backoff import (
     BACKOFF_DOCUMENT,
     ONE_PIECE,
-    make_maker,
-    read_wait,
+    make_pool_target,
+    read_retry_after,
 )
 from damsonlaned.http import HttpHead, HttpRequest, HttpResponse, ResponseWriter
 
@@ -41,10 +41,10 @@
 RATE_LIMIT_HEADER = (b"Damsonlane-Rate-Limit", str(RATE).encode())
 
 
-class Limited(StandIn):
+class Limited(FakeTarget):
     """A target that announces its rate limit in each answer and records arrival times."""
 
-    def __init__(self, name: str, answer: Answer, service: str = "desk") -> None:
+    def __init__(self, name: str, answer: AnswerHandler, service: str = "desk") -> None:
         super().__init__(name, self._record_and_answer, service)
         self._inner_answer = answer
         self.times: list[float] = []
@@ -86,7 +86,7 @@
 class Case:
     """A request path to targets, of which one announces a rate limit."""
 
-    def __init__(self, path: str, limited: Limited, *others: StandIn, headers: str = "") -> None:
+    def __init__(self, path: str, limited: Limited, *others: FakeTarget, headers: str = "") -> None:
         self.path = path
         self.limited = limited
         self.others = others
@@ -105,45 +105,45 @@
 def make_limited_pool_target(name: str) -> Limited:
     """Return a pool target that computes pieces and announces its rate limit."""
     created: list[Limited] = []
-    created.append(Limited(name, make_pieces(lambda: created[0].address), "pool"))
+    created.append(Limited(name, make_piece_handler(lambda: created[0].address), "pool"))
     return created[0]
 
 
 def make_cases() -> dict[str, Case]:
     """Return a case for each request path to a target."""
     return {
-        "plain": Case("/plain/a", Limited("t1", answer_well), StandIn("t2", answer_well)),
-        "once": Case("/once/a", Limited("t1", answer_well), StandIn("t2", answer_well)),
-        "turned away": Case("/once/a", Limited("t1", reject), StandIn("t2", answer_well)),
+        "plain": Case("/plain/a", Limited("t1", answer_ok), FakeTarget("t2", answer_ok)),
+        "once": Case("/once/a", Limited("t1", answer_ok), FakeTarget("t2", answer_ok)),
+        "turned away": Case("/once/a", Limited("t1", reject), FakeTarget("t2", answer_ok)),
         "prompt": Case(
             "/prompt/a",
             Limited("e1", stream_events(1, 3), "model"),
-            StandIn("e2", stream_events(1, 3), "model"),
+            FakeTarget("e2", stream_events(1, 3), "model"),
         ),
         "resumed": Case(
             "/resumed/a",
             Limited("t1", stream_events(1, 5)),
-            StandIn("t2", stream_events(1, 2, is_cut=True)),
-            StandIn("t3", stream_events(1, 5)),
+            FakeTarget("t2", stream_events(1, 2, is_cut=True)),
+            FakeTarget("t3", stream_events(1, 5)),
         ),
         "repeated": Case(
             "/plain/a",
-            Limited("t1", answer_well),
-            StandIn("t2", cut),
-            StandIn("t3", answer_well),
+            Limited("t1", answer_ok),
+            FakeTarget("t2", close_without_answer),
+            FakeTarget("t3", answer_ok),
         ),
         "pieces": Case(
             "/pieces/a",
             make_limited_pool_target("p1"),
-            make_maker("p2"),
-            StandIn("t2", answer_well),
+            make_pool_target("p2"),
+            FakeTarget("t2", answer_ok),
             headers=ONE_PIECE,
         ),
     }
 
 
 class RateLimitTest(unittest.IsolatedAsyncioTestCase):
-    async def start(self, *targets: StandIn) -> tuple[Fleet, dict[str, TargetRecord]]:
+    async def start(self, *targets: FakeTarget) -> tuple[Fleet, dict[str, TargetRecord]]:
         """Start targets and a fleet that lists them."""
         records: dict[str, TargetRecord] = {}
         for target in targets:
@@ -189,7 +189,7 @@
     async def test_callers_are_refused_immediately_if_all_targets_are_at_their_rate_limits(
         self,
     ) -> None:
-        targets = [Limited(f"t{number}", answer_well) for number in range(2)]
+        targets = [Limited(f"t{number}", answer_ok) for number in range(2)]
         fleet, _ = await self.start(*targets)
         case = Case("/plain/a", targets[0])
         sent = [self.send_all(entry, case) for entry in fleet.entries]
@@ -200,7 +200,7 @@
         response = await fleet.entries[0].call("/plain/a", deadline_ms=8_000)
         self.assertEqual(response.status, 503)
         # Each of the two targets takes one request in five seconds.
-        self.assertGreater(read_wait(response), 1.0)
+        self.assertGreater(read_retry_after(response), 1.0)
 
 
 if __name__ == "__main__":
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_stages.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_stages.py
@@ -8,17 +8,17 @@
 from unittest import mock
 
 from damsonlane.routes import RoutingDocument
-from damsonlaned.gateway import _read_timer
+from damsonlaned.gateway import _input_read_timer
 from damsonlaned.gateway._pool_client import PoolClient
 from damsonlaned.gateway.tests.harness import (
     DOCUMENT,
-    PATIENCE,
-    Answer,
+    TEST_TIMEOUT_SECONDS,
+    AnswerHandler,
     Entry,
-    StandIn,
-    answer_well,
-    cut,
-    make_pieces,
+    FakeTarget,
+    answer_ok,
+    close_without_answer,
+    make_piece_handler,
 )
 from damsonlaned.http import HttpRequest, HttpResponse, ResponseWriter
 
@@ -29,13 +29,15 @@
 def make_document() -> RoutingDocument:
     """Return the default document with long timeouts for pool calls and requests."""
     services = tuple(
-        replace(service, pool=replace(service.pool, call_seconds=PATIENCE / 4))
+        replace(service, pool=replace(service.pool, call_seconds=TEST_TIMEOUT_SECONDS / 4))
         if service.pool is not None
         else service
         for service in DOCUMENT.services
     )
     routes = tuple(
-        replace(route, timeout_seconds=4 * PATIENCE, aim_seconds=4 * PATIENCE)
+        replace(
+            route, timeout_seconds=4 * TEST_TIMEOUT_SECONDS, aim_seconds=4 * TEST_TIMEOUT_SECONDS
+        )
         for route in DOCUMENT.routes
     )
     return replace(DOCUMENT, services=services, routes=routes)
@@ -61,13 +63,13 @@
     """A pool target that records its calls and computes pieces, or answers as scripted."""
 
     def __init__(self) -> None:
-        self._second: list[Answer] = []
+        self._second: list[AnswerHandler] = []
         self.calls: list[ReceivedCall] = []
         self.freed = asyncio.Event()
-        self.target = StandIn("p1", self._answer, "pool")
-        self.make = make_pieces(lambda: self.target.address)
+        self.target = FakeTarget("p1", self._answer, "pool")
+        self.make = make_piece_handler(lambda: self.target.address)
 
-    def answer_second_stage(self, *answers: Answer) -> None:
+    def answer_second_stage(self, *answers: AnswerHandler) -> None:
         """Set the answers to calls of the second stage, in turn; the last one repeats."""
         self._second = list(answers)
 
@@ -87,7 +89,7 @@
     async def cut_once_freed(self, request: HttpRequest, reply: ResponseWriter) -> None:
         """Abort the answer once results were freed."""
         await self.freed.wait()
-        await cut(request, reply)
+        await close_without_answer(request, reply)
 
     async def _answer(self, request: HttpRequest, reply: ResponseWriter) -> None:
         body = json.loads(request.body)
@@ -101,17 +103,17 @@
         answer = self.make if stage == 0 else self._next_answer()
         await answer(request, reply)
 
-    def _next_answer(self) -> Answer:
+    def _next_answer(self) -> AnswerHandler:
         """Return the answer to the next call of the second stage."""
         return self._second.pop(0) if len(self._second) > 1 else self._second[0]
 
 
 class EarlyFreeTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        patch = mock.patch.object(_read_timer, "READ_SECONDS", 0.0)
+        patch = mock.patch.object(_input_read_timer, "READ_SECONDS", 0.0)
         patch.start()
         self.addCleanup(patch.stop)
-        self.desk = StandIn("t1", answer_well)
+        self.desk = FakeTarget("t1", answer_ok)
 
     async def call(self, pool: Pool, *, has_queue: bool = True) -> int:
         patch = mock.patch.object(PoolClient, "has_queue", return_value=has_queue)
@@ -122,11 +124,11 @@
         await entry.start(*records)
         for stop in (self.desk.stop, pool.target.stop, entry.stop):
             self.addAsyncCleanup(stop)
-        deadline = int(4_000 * PATIENCE)
+        deadline = int(4_000 * TEST_TIMEOUT_SECONDS)
         return (await entry.call("/staged/a", headers=HEADERS, deadline_ms=deadline)).status
 
     async def wait_for(self, condition: Callable[[], bool]) -> None:
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
             while not condition():
                 await asyncio.sleep(0.01)
 
@@ -149,7 +151,7 @@
 
     async def test_inputs_are_kept_for_a_retry_if_no_piece_waits_for_memory(self) -> None:
         pool = Pool()
-        pool.answer_second_stage(cut, pool.make)
+        pool.answer_second_stage(close_without_answer, pool.make)
         self.assertEqual(await self.call(pool, has_queue=False), 200)
         self.assertEqual(pool.stages(), [0, 1, 1])
         self.assertEqual(len(self.desk.requests), 1)
@@ -160,9 +162,9 @@
 
         async def answer_once_freed(request: HttpRequest, reply: ResponseWriter) -> None:
             await self.wait_for(lambda: pool.has_freed("r1-1-0"))
-            await answer_well(request, reply)
+            await answer_ok(request, reply)
 
-        self.desk = StandIn("t1", answer_once_freed)
+        self.desk = FakeTarget("t1", answer_once_freed)
         self.assertEqual(await self.call(pool), 200)
         self.assertEqual(pool.stages(), [0, 1])
 
@@ -172,9 +174,11 @@
 
         async def cut_once_freed(request: HttpRequest, reply: ResponseWriter) -> None:
             await self.wait_for(lambda: pool.has_freed("r1-1-0"))
-            await (cut if len(self.desk.requests) == 1 else answer_well)(request, reply)
+            await (close_without_answer if len(self.desk.requests) == 1 else answer_ok)(
+                request, reply
+            )
 
-        self.desk = StandIn("t1", cut_once_freed)
+        self.desk = FakeTarget("t1", cut_once_freed)
         self.assertEqual(await self.call(pool), 200)
         self.assertEqual(pool.stages(), [0, 1, 0, 1])
         self.assertEqual(len(self.desk.requests), 2)
@@ -184,9 +188,11 @@
         pool.answer_second_stage(pool.make)
 
         async def cut_first(request: HttpRequest, reply: ResponseWriter) -> None:
-            await (cut if len(self.desk.requests) == 1 else answer_well)(request, reply)
+            await (close_without_answer if len(self.desk.requests) == 1 else answer_ok)(
+                request, reply
+            )
 
-        self.desk = StandIn("t1", cut_first)
+        self.desk = FakeTarget("t1", cut_first)
         self.assertEqual(await self.call(pool, has_queue=False), 200)
         self.assertEqual(pool.stages(), [0, 1])
         self.assertEqual(len(self.desk.requests), 2)
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_start.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_start.py
@@ -6,7 +6,7 @@
 
 from damsonlaned.gateway import _caller_service
 from damsonlaned.gateway._caller_service import EXPECTED_START_SECONDS, START_RETRY_SECONDS
-from damsonlaned.gateway.tests.harness import PATIENCE, Entry, StandIn, answer_well
+from damsonlaned.gateway.tests.harness import TEST_TIMEOUT_SECONDS, Entry, FakeTarget, answer_ok
 
 
 class StartTest(unittest.IsolatedAsyncioTestCase):
@@ -38,14 +38,14 @@
 
     async def test_a_request_waits_for_the_routes_of_a_starting_entry(self) -> None:
         entry = Entry()
-        target = StandIn("t1", answer_well)
+        target = FakeTarget("t1", answer_ok)
         record = await target.start()
         self.addAsyncCleanup(target.stop)
         await entry._listener.start()
         self.addAsyncCleanup(entry.stop)
         # Started in the future, so that a slow machine changes nothing.
         entry.callers._started_at = asyncio.get_running_loop().time() + 60  # type: ignore[misc]
-        with mock.patch.object(_caller_service, "START_HOLD_SECONDS", PATIENCE):
+        with mock.patch.object(_caller_service, "START_HOLD_SECONDS", TEST_TIMEOUT_SECONDS):
             waiting = asyncio.create_task(entry.call("/ping/a"))
             while not (entry.callers.in_flight() or waiting.done()):
                 await asyncio.sleep(0.001)
@@ -55,7 +55,7 @@
 
     async def test_a_request_is_not_sent_if_its_caller_disconnected_before(self) -> None:
         """The caller disconnects while its request waits for the routes of a starting entry."""
-        target = StandIn("t1", answer_well)
+        target = FakeTarget("t1", answer_ok)
         record = await target.start()
         self.addAsyncCleanup(target.stop)
         entry = Entry()
@@ -63,9 +63,9 @@
         self.addAsyncCleanup(entry.stop)
         # Started in the future, so that a slow machine changes nothing.
         entry.callers._started_at = asyncio.get_running_loop().time() + 60  # type: ignore[misc]
-        with mock.patch.object(_caller_service, "START_HOLD_SECONDS", PATIENCE):
+        with mock.patch.object(_caller_service, "START_HOLD_SECONDS", TEST_TIMEOUT_SECONDS):
             _, writer = await entry.send("/ping/a")
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
                 while not entry.callers.in_flight():
                     await asyncio.sleep(0.001)
                 writer.close()
@@ -77,7 +77,7 @@
         self.assertEqual([request.path for request in target.requests], ["/ping/b"])
 
     async def test_a_stopping_entry_refuses_requests_that_it_could_not_complete(self) -> None:
-        target = StandIn("t1", answer_well)
+        target = FakeTarget("t1", answer_ok)
         record = await target.start()
         self.addAsyncCleanup(target.stop)
         entry = Entry()
--- a/packages/damsonlaned/src/damsonlaned/tests/test_clock.py
+++ b/packages/damsonlaned/src/damsonlaned/tests/test_clock.py
@@ -14,7 +14,13 @@
 from pathlib import Path
 from unittest import mock
 
-from damsonlaned.gateway.tests.harness import DOCUMENT, PATIENCE, Entry, StandIn, hang
+from damsonlaned.gateway.tests.harness import (
+    DOCUMENT,
+    TEST_TIMEOUT_SECONDS,
+    Entry,
+    FakeTarget,
+    hang,
+)
 
 #: Clocks that stop while a box is suspended, and what starts event loops that use them.
 FORBIDDEN = {"time.monotonic", "time.perf_counter", "asyncio.run"}
@@ -60,13 +66,13 @@
             for route in DOCUMENT.routes
         )
         entry = Entry(replace(DOCUMENT, routes=routes))
-        target = StandIn("desk-1", hang)
+        target = FakeTarget("desk-1", hang)
         await entry.start(await target.start())
         reader, writer = await entry.send("/once/a", deadline_ms=int(SUSPENDED_SECONDS * 500))
         while not target.requests:
             await asyncio.sleep(0.005)
         self.clock.suspend()
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
             status = int((await reader.readline())[9:12])
         writer.close()
         await target.stop()
