--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_rate_limits.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_rate_limits.py
@@ -67,7 +67,7 @@
     def __init__(self, reply: ResponseWriter) -> None:
         self._reply = reply
 
-    def send_whole(self, response: HttpResponse) -> None:
+    def send_response(self, response: HttpResponse) -> None:
         self._reply.send_response(replace(response, headers=(*response.headers, RATE_LIMIT_HEADER)))
 
     def start(self, head: HttpHead) -> None:
@@ -79,7 +79,7 @@
     def finish(self) -> None:
         self._reply.finish()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         self._reply.abort()
 
 
