--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_links.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_links.py
@@ -277,7 +277,7 @@
                 pools = entry.pools
                 entry.view.put_entries(before)
                 pools._links[self.address] = mock.Mock()
-                with mock.patch.object(_owners, "_weigh", self._weigh_owner_most):
+                with mock.patch.object(_owners, "_hash_weight", self._weigh_owner_most):
                     pools.handle_lost_owner(self.address, (), "the stream ended")
                     entry.view.put_entries(after)
                     self.assertEqual(pools.find_owner("pool"), owner or self.address)
