--- a/packages/damsonlaned/src/damsonlaned/gateway/_pool_owner.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_pool_owner.py
@@ -225,7 +225,8 @@
         if service is not None and service.pool is not None:
             now = self._now()
             offer = self._pool_targets.make_offer(None, service.pool, now)
-            # pieces_within_call is 0 while rate limits delay the next call of every target for long.
+            # pieces_within_call is 0 while rate limits delay the next call of every target
+            # for long.
             take = self._queue.take_expired if offer.pieces_within_call else self._queue.take_late
             self._refuse(take(now, offer))
         self._dispatch()
