--- a/packages/damsonlaned/src/damsonlaned/control/_registry.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_registry.py
@@ -39,7 +39,7 @@
 from damsonlaned.control._service import REGISTRY
 from damsonlaned.dialects import (
     BadRequestError,
-    Departure,
+    Deregistration,
     Dialect,
     Evacuate,
     Heartbeat,
@@ -142,7 +142,7 @@
                     if error_text:
                         return self._refuse_invalid(request, error_text)
                     return await self._record_heartbeat(record)
-                case Departure():
+                case Deregistration():
                     return await self._remove_target(call)
                 case Evacuate() | Restore():
                     return await self._commit_evacuation(call)
@@ -208,7 +208,7 @@
         address = self._leader.address()
         return f"{address.rpartition(':')[0]}:{self._port}" if address else ""
 
-    async def _remove_target(self, departure: Departure) -> HttpResponse:
+    async def _remove_target(self, departure: Deregistration) -> HttpResponse:
         target = departure.target
         if not self._node.state.targets.is_removed(target):
             await self._leader.submit(RemoveTarget(target=target, start=departure.start))
--- a/packages/damsonlaned/src/damsonlaned/dialects/_header_dialect.py
+++ b/packages/damsonlaned/src/damsonlaned/dialects/_header_dialect.py
@@ -12,18 +12,18 @@
 from damsonlaned.dialects._interface import Dialect
 from damsonlaned.dialects._names import HeaderNames, PathNames
 from damsonlaned.dialects._types import (
-    AnswerSigns,
     Attempt,
     BadRequestError,
     CallerRequest,
     ControlCall,
-    Departure,
+    Deregistration,
     Evacuate,
     Heartbeat,
     PrefixPart,
     PutDocument,
     ReadDocument,
     Refusal,
+    ResponseSignals,
     Restore,
 )
 from damsonlaned.http import (
@@ -92,9 +92,9 @@
             host=request.find(b"host") or "",
             key=(self._find(request, "key") or "").removeprefix(self.headers.key_scheme),
             deadline_seconds=self._read_deadline(request),
-            prefix=self._read_prefix(request),
-            tokens_in=tokens_in,
-            tokens_out=tokens_out,
+            prefix_segments=self._read_prefix(request),
+            prompt_tokens=tokens_in,
+            max_output_tokens=tokens_out,
             pieces=self._read_pieces(request),
             material_key=self._find(request, "material_key") or "",
         )
@@ -115,7 +115,7 @@
             status=refusal.status, headers=headers, body=json.dumps(problem).encode()
         )
 
-    def is_ready_call(self, request: HttpRequest) -> bool:
+    def is_readiness_check(self, request: HttpRequest) -> bool:
         """Tell whether a request asks if this entry takes requests."""
         return request.path == self.paths.ready
 
@@ -125,7 +125,7 @@
         """Return what is sent to a target."""
         kept = remove_hop_by_hop(request.http.headers)
         hidden = self._hidden
-        if attempt.last_event is not None:
+        if attempt.last_event_id is not None:
             hidden = hidden | {self._lower["last_event"]}
         passed = tuple(item for item in kept if item[0].lower() not in hidden)
         return HttpRequest(
@@ -145,28 +145,28 @@
             values.append((names.urgency, str(attempt.urgency)))
         if attempt.inputs:
             values.append((names.inputs, ",".join(attempt.inputs)))
-        if attempt.source:
-            values.append((names.source, attempt.source))
-        if attempt.last_event is not None:
-            values.append((names.last_event, attempt.last_event))
+        if attempt.cache_source:
+            values.append((names.source, attempt.cache_source))
+        if attempt.last_event_id is not None:
+            values.append((names.last_event, attempt.last_event_id))
         return tuple((name.encode(), value.encode("latin-1")) for name, value in values)
 
-    def read_signs(self, head: HttpHead) -> AnswerSigns:
+    def read_signals(self, head: HttpHead) -> ResponseSignals:
         """Return what the head of a target's answer says."""
         kind = head.find(b"content-type") or ""
-        return AnswerSigns(
+        return ResponseSignals(
             request_id=head.find(self._lower["request_id"]),
             has_not_run=head.find(self._lower["not_run"]) is not None or head.status == 421,
             load=_read_load(head.find(self._lower["load"])),
             is_stream=kind.startswith("text/event-stream"),
             backoff_seconds=_read_backoff(head),
-            is_leaving=(head.find(self._lower["leaving"]) or "").strip() not in ("", "0"),
+            is_draining=(head.find(self._lower["leaving"]) or "").strip() not in ("", "0"),
             rate_limit=read_rate_limit(head.find_values(self._lower["rate_limit"])),
         )
 
     # Stage pools.
 
-    def read_maker(self, handle: str) -> str:
+    def read_result_address(self, handle: str) -> str:
         """Return the address of the target that holds a result; a handle begins with it."""
         return handle.partition("/")[0]
 
@@ -189,7 +189,7 @@
         if request.method == "PUT":
             return Heartbeat(record=self.read_heartbeat(target, request.body))
         if request.method == "DELETE":
-            return Departure(target=target, start=self.read_departure(request.body))
+            return Deregistration(target=target, start=self.read_departure(request.body))
         return None
 
     @abstractmethod
--- a/packages/damsonlaned/src/damsonlaned/dialects/_interface.py
+++ b/packages/damsonlaned/src/damsonlaned/dialects/_interface.py
@@ -7,12 +7,12 @@
 from damsonlane.pools import PieceOrder
 from damsonlane.routes import RoutingDocument
 from damsonlaned.dialects._types import (
-    AnswerSigns,
     Attempt,
     CallerRequest,
+    ComputedPiece,
     ControlCall,
-    MadePiece,
     Refusal,
+    ResponseSignals,
 )
 from damsonlaned.http import HttpHead, HttpRequest, HttpResponse
 
@@ -35,7 +35,7 @@
         """Return an answer of our own; ``request_id`` may be empty."""
 
     @abstractmethod
-    def is_ready_call(self, request: HttpRequest) -> bool:
+    def is_readiness_check(self, request: HttpRequest) -> bool:
         """Tell whether a request asks if this entry takes requests."""
 
     # Targets.
@@ -45,7 +45,7 @@
         """Return what is sent to a target."""
 
     @abstractmethod
-    def read_signs(self, head: HttpHead) -> AnswerSigns:
+    def read_signals(self, head: HttpHead) -> ResponseSignals:
         """Return what the head of a target's answer says."""
 
     # Stage pools.
@@ -55,7 +55,7 @@
         """Return the call that makes pieces."""
 
     @abstractmethod
-    def read_pool_reply(self, body: bytes, count: int) -> tuple[MadePiece, ...]:
+    def read_pool_reply(self, body: bytes, count: int) -> tuple[ComputedPiece, ...]:
         """Return what became of each piece, in the order of the call.
 
         Raises:
@@ -63,11 +63,11 @@
         """
 
     @abstractmethod
-    def make_free_call(self, handles: Sequence[str]) -> HttpRequest:
+    def make_release_call(self, handles: Sequence[str]) -> HttpRequest:
         """Return the call that gives results up."""
 
     @abstractmethod
-    def read_maker(self, handle: str) -> str:
+    def read_result_address(self, handle: str) -> str:
         """Return the address of the target that holds a result."""
 
     # Control.
--- a/packages/damsonlaned/src/damsonlaned/dialects/_native.py
+++ b/packages/damsonlaned/src/damsonlaned/dialects/_native.py
@@ -15,7 +15,7 @@
 from damsonlaned.dialects._header_dialect import HeaderDialect
 from damsonlaned.dialects._interface import dialect
 from damsonlaned.dialects._names import HeaderNames, PathNames
-from damsonlaned.dialects._types import BadRequestError, MadePiece
+from damsonlaned.dialects._types import BadRequestError, ComputedPiece
 from damsonlaned.http import HttpRequest, HttpResponse
 
 
@@ -68,12 +68,12 @@
         ]
         return self._post(self.paths.make_pieces, {"pieces": pieces}, target)
 
-    def read_pool_reply(self, body: bytes, count: int) -> tuple[MadePiece, ...]:
+    def read_pool_reply(self, body: bytes, count: int) -> tuple[ComputedPiece, ...]:
         """Return what became of each piece, in the order of the call."""
         try:
             pieces = json.loads(body)["pieces"]
             made = tuple(
-                MadePiece(handle=piece.get("handle", ""), fault=piece.get("fault", ""))
+                ComputedPiece(handle=piece.get("handle", ""), fault=piece.get("fault", ""))
                 for piece in pieces
             )
         except (ValueError, KeyError, TypeError, AttributeError):
@@ -81,7 +81,7 @@
         self._check_count(len(made), count)
         return made
 
-    def make_free_call(self, handles: Sequence[str]) -> HttpRequest:
+    def make_release_call(self, handles: Sequence[str]) -> HttpRequest:
         """Return the call that gives results up."""
         return self._post(self.paths.free_results, {"handles": list(handles)})
 
--- a/packages/damsonlaned/src/damsonlaned/dialects/_types.py
+++ b/packages/damsonlaned/src/damsonlaned/dialects/_types.py
@@ -38,11 +38,11 @@
     #: Seconds for which the caller waits, or None when it does not say.
     deadline_seconds: float | None = None
     #: Parts of its prompt, in order.
-    prefix: tuple[PrefixPart, ...] = ()
+    prefix_segments: tuple[PrefixPart, ...] = ()
     #: Tokens of its prompt.
-    tokens_in: int = 0
+    prompt_tokens: int = 0
     #: Most tokens that it wants.
-    tokens_out: int = 0
+    max_output_tokens: int = 0
     #: Number of pieces of each stage.
     pieces: tuple[int, ...] = ()
     #: Key of its material for the stages, or an empty string.
@@ -64,14 +64,14 @@
     #: Handles of the stage results that it needs.
     inputs: tuple[str, ...] = ()
     #: Id of the last event that the caller has, where an event stream is taken up.
-    last_event: str | None = None
+    last_event_id: str | None = None
     #: Address of an engine from which the target should take what it keeps of the prompt,
     #: or an empty string.
-    source: str = ""
+    cache_source: str = ""
 
 
 @dataclass(frozen=True, kw_only=True)
-class AnswerSigns:
+class ResponseSignals:
     """What the head of a target's answer says besides its status."""
 
     #: Id of the request that it answers, or None.
@@ -85,12 +85,12 @@
     #: Seconds for which the target wants nothing from this box.
     backoff_seconds: float = 0.0
     #: Whether the target says that it leaves.
-    is_leaving: bool = False
+    is_draining: bool = False
     #: Requests a second that the target takes from all boxes together; None where it names no
     #: limit.
     rate_limit: float | None = None
 
-    def says_what_it_takes(self) -> bool:
+    def is_announced_rejection(self) -> bool:
         """Tell whether the target turned the request away by what it says that it takes."""
         return self.backoff_seconds > 0 or (self.has_not_run and self.rate_limit is not None)
 
@@ -110,7 +110,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class MadePiece:
+class ComputedPiece:
     """What a target says of one piece."""
 
     #: Handle of its result, or an empty string.
@@ -128,7 +128,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Departure:
+class Deregistration:
     """A target says that it is gone."""
 
     #: Its name.
@@ -166,4 +166,4 @@
     """An operator asks for the routing document in force."""
 
 
-ControlCall = Heartbeat | Departure | PutDocument | ReadDocument | Evacuate | Restore
+ControlCall = Heartbeat | Deregistration | PutDocument | ReadDocument | Evacuate | Restore
--- a/packages/damsonlaned/src/damsonlaned/gateway/_attempts.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_attempts.py
@@ -9,7 +9,7 @@
 from damsonlane.placement import InputLocation, PlacementRequest, PromptSegment
 from damsonlane.requests import WindowedRetryBudget
 from damsonlane.routing import HealthSignal
-from damsonlaned.dialects import AnswerSigns, Attempt, Dialect
+from damsonlaned.dialects import Attempt, Dialect, ResponseSignals
 from damsonlaned.gateway._call import Call
 from damsonlaned.gateway._limited_targets import LimitedTargetSelector, NoTarget
 from damsonlaned.gateway._permit_client import PermitClient
@@ -43,7 +43,7 @@
     #: Head of the response.
     head: HttpHead
     #: Signals of the target in the head.
-    signs: AnswerSigns
+    signs: ResponseSignals
 
 
 class Attempts:
@@ -155,8 +155,8 @@
             organisation=call.organisation.name if call.organisation is not None else "",
             urgency=min(LEAST_URGENT, call.priority) if call.service.engine is not None else None,
             inputs=inputs,
-            last_event=last_event,
-            source=chosen.source_address,
+            last_event_id=last_event,
+            cache_source=chosen.source_address,
         )
         request = self._dialect.make_request(call.request, attempt)
         exchange = await chosen.connections.send(request, CONNECT_SECONDS)
@@ -183,7 +183,7 @@
         opened.exchange.finish()
         if opened.head.status == 421:
             self._targets.record_misdirected(opened.chosen)
-        if health == "bad" and opened.signs.says_what_it_takes():
+        if health == "bad" and opened.signs.is_announced_rejection():
             # The target is healthy and announced a back-off or a rate limit.  Ejected for three
             # such responses, it would get nothing for longer than it requested.
             health = "neutral"
@@ -197,11 +197,11 @@
 
     async def _read_own_head(
         self, exchange: HttpExchange, call: Call, chosen: ChosenTarget
-    ) -> tuple[HttpHead, AnswerSigns]:
+    ) -> tuple[HttpHead, ResponseSignals]:
         """Return the head of the response to this request, skipping those to others."""
         for _ in range(MAX_SKIPPED_RESPONSES + 1):
             head = await exchange.read_head()
-            signs = self._dialect.read_signs(head)
+            signs = self._dialect.read_signals(head)
             is_own = signs.request_id == call.request.request_id or _is_rejection_without_id(signs)
             # A response to another request carries signals of the target, too.
             self._targets.record_signals(chosen, signs, is_own=is_own)
@@ -227,9 +227,9 @@
 
 def _find_prompt(call: Call) -> Prompt:
     """Return what the choice of an engine depends on."""
-    shared = call.request.prefix[:-1]
+    shared = call.request.prefix_segments[:-1]
     affinity = shared[-1].identity if shared else ""
-    return Prompt(affinity=affinity, tokens=call.request.tokens_in)
+    return Prompt(affinity=affinity, tokens=call.request.prompt_tokens)
 
 
 def _make_prompt_order(
@@ -241,15 +241,15 @@
         number=0,
         shared=tuple(
             PromptSegment(identity=part.identity, tokens=part.tokens)
-            for part in call.request.prefix[:-1]
+            for part in call.request.prefix_segments[:-1]
         ),
-        tokens=call.request.tokens_in,
+        tokens=call.request.prompt_tokens,
         aim_left_seconds=call.objective_at - now,
         avoid=avoid,
         inputs=places,
     )
 
 
-def _is_rejection_without_id(signs: AnswerSigns) -> bool:
+def _is_rejection_without_id(signs: ResponseSignals) -> bool:
     """Return whether a target rejected a request before it read the id."""
     return signs.request_id is None and signs.has_not_run
--- a/packages/damsonlaned/src/damsonlaned/gateway/_caller_service.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_caller_service.py
@@ -259,7 +259,7 @@
         "left_ms": int(1000 * (call.deadline_at - call.arrived_at)),
         "waited_ms": int(1000 * call.earlier_wait_seconds),
         "pieces": call.request.pieces,
-        "tokens": call.request.tokens_in,
+        "tokens": call.request.prompt_tokens,
     }
 
 
--- a/packages/damsonlaned/src/damsonlaned/gateway/_node.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_node.py
@@ -176,14 +176,14 @@
         await self._admin.stop()
 
     async def _serve_readiness(self, request: HttpRequest, reply: ResponseWriter) -> None:
-        is_ready = self._dialect.is_ready_call(request) and self.is_ready()
+        is_ready = self._dialect.is_readiness_check(request) and self.is_ready()
         reply.send_response(HttpResponse(status=200 if is_ready else 503))
 
     def _update_control(self, addresses: tuple[str, ...]) -> None:
         self._control.update_addresses(addresses)
 
     def _find_data_centre(self, handle: str) -> str:
-        return self._view.data_centre_at(self._dialect.read_maker(handle))
+        return self._view.data_centre_at(self._dialect.read_result_address(handle))
 
     def _count_entries(self) -> int:
         return max(1, len(self._view.entries))
--- a/packages/damsonlaned/src/damsonlaned/gateway/_pool_calls.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_pool_calls.py
@@ -7,7 +7,7 @@
 
 from damsonlane.pools import WaitingPiece
 from damsonlane.routes import PoolProperties
-from damsonlaned.dialects import Dialect, MadePiece
+from damsonlaned.dialects import ComputedPiece, Dialect
 from damsonlaned.gateway._pool_targets import PoolTarget
 from damsonlaned.gateway._target_announcements import TargetAnnouncements
 from damsonlaned.http import ConnectionPool, HttpHead, HttpRequest, IncompleteResponseError
@@ -94,7 +94,7 @@
 
     async def compute(
         self, connections: ConnectionPool, call: BatchCall, on_sent: Callable[[], None]
-    ) -> tuple[MadePiece, ...]:
+    ) -> tuple[ComputedPiece, ...]:
         """Compute a batch and return the outcome of each piece.
 
         Args:
@@ -119,7 +119,7 @@
             answer = await self._exchange(call.target, connections, request, on_sent)
         if answer.head.status == 200:
             return self._dialect.read_pool_reply(answer.body, len(call.batch))
-        if self._dialect.read_signs(answer.head).has_not_run:
+        if self._dialect.read_signals(answer.head).has_not_run:
             raise TargetFullError
         raise IncompleteResponseError(f"the pool target answered {answer.head.status}")
 
@@ -139,7 +139,7 @@
             TimeoutError: the call timed out.
         """
         async with asyncio.timeout(FREE_CALL_TIMEOUT_SECONDS):
-            request = self._dialect.make_free_call(handles)
+            request = self._dialect.make_release_call(handles)
             await self._exchange(target, connections, request, is_work=False)
 
     async def _exchange(
@@ -156,7 +156,7 @@
         on_sent()
         try:
             head = await exchange.read_head()
-            signals = self._dialect.read_signs(head)
+            signals = self._dialect.read_signals(head)
             self._notices.record(target.incarnation, signals, is_work=is_work)
             body = await exchange.body.read_all()
         finally:
--- a/packages/damsonlaned/src/damsonlaned/gateway/_pool_owner.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_pool_owner.py
@@ -11,7 +11,7 @@
 from damsonlane.quarantine import InterruptedRequest
 from damsonlane.routes import PoolProperties, Service
 from damsonlane.warmup import WarmupLimiter
-from damsonlaned.dialects import BadRequestError, Dialect, MadePiece
+from damsonlaned.dialects import BadRequestError, ComputedPiece, Dialect
 from damsonlaned.gateway._exit_detector import ExitDetector
 from damsonlaned.gateway._free_calls import FreeCalls
 from damsonlaned.gateway._input_read_timer import InputReadTimer
@@ -73,7 +73,7 @@
             view.announcements.backoff_seconds_left, ServiceLimits(view.limits, service)
         )
         self._free_calls: Final = FreeCalls(
-            dialect.read_maker,
+            dialect.read_result_address,
             self._calls,
             self._pool_targets,
             self._find_connections,
@@ -306,7 +306,7 @@
             },
         )
 
-    def _deliver(self, call: BatchCall, replies: Sequence[MadePiece]) -> dict[str, int]:
+    def _deliver(self, call: BatchCall, replies: Sequence[ComputedPiece]) -> dict[str, int]:
         """Deliver the results of a call; return their sizes by handle."""
         sizes: dict[str, int] = {}
         failed: list[WaitingPiece] = []
--- a/packages/damsonlaned/src/damsonlaned/gateway/_rate_limits.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_rate_limits.py
@@ -14,7 +14,7 @@
     RateLimitTable,
     list_changes,
 )
-from damsonlaned.dialects import AnswerSigns
+from damsonlaned.dialects import ResponseSignals
 
 _LOG: Final = logging.getLogger(__name__)
 
@@ -54,7 +54,7 @@
     # Reports from targets, peers and control.
 
     def process_signals(
-        self, incarnation: TargetIncarnation, signals: AnswerSigns, *, may_end: bool
+        self, incarnation: TargetIncarnation, signals: ResponseSignals, *, may_end: bool
     ) -> None:
         """Process the head of an answer.
 
--- a/packages/damsonlaned/src/damsonlaned/gateway/_request_handler.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_request_handler.py
@@ -259,7 +259,7 @@
                 detail=f"the target turned it away with {response.status}",
                 may_have_run=False,
                 needs_inputs=response.status == 409,
-                is_throttled=opened.signs.says_what_it_takes(),
+                is_throttled=opened.signs.is_announced_rejection(),
             )
         if response.status >= 500 or self._response.has_begun():
             return FailedAttempt(
--- a/packages/damsonlaned/src/damsonlaned/gateway/_stage_orders.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_stage_orders.py
@@ -54,7 +54,7 @@
 
     def record_first_event(self, call: Call, seconds: float) -> None:
         """Record the seconds from sending a request to the first event of its answer."""
-        self._find_forecast(call).record(call.request.tokens_in, seconds)
+        self._find_forecast(call).record(call.request.prompt_tokens, seconds)
 
     def estimate_seconds(self, call: Call, stage: Stage) -> float:
         """Return the estimated seconds of a stage, including the last reported queueing time."""
@@ -130,7 +130,7 @@
             stages=sum(_typical_seconds(call, stage) for stage in chain),
             queues=sum(self._client.wait_seconds(stage.service, call.priority) for stage in chain),
             first_event=self._find_forecast(call).seconds(
-                call.request.tokens_in, call.route.aim_seconds
+                call.request.prompt_tokens, call.route.aim_seconds
             ),
         )
 
--- a/packages/damsonlaned/src/damsonlaned/gateway/_target_announcements.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_target_announcements.py
@@ -7,7 +7,7 @@
 
 from damsonlane.backoff import BackoffTable, TargetIncarnation, draw_jitter_seconds
 from damsonlane.targets import TargetRecord
-from damsonlaned.dialects import AnswerSigns
+from damsonlaned.dialects import ResponseSignals
 from damsonlaned.gateway._rate_limits import RateLimits
 
 _LOG: Final = logging.getLogger(__name__)
@@ -38,7 +38,7 @@
         self._randomness: Final = random.Random()
 
     def record(
-        self, incarnation: TargetIncarnation, signs: AnswerSigns, *, is_work: bool = True
+        self, incarnation: TargetIncarnation, signs: ResponseSignals, *, is_work: bool = True
     ) -> None:
         """Record the signals in the head of any response.
 
@@ -56,7 +56,7 @@
             self._table.record(incarnation, seconds, self._clock(), spread)
             times = {"seconds": seconds, "spread": round(spread, 3)}
             _LOG.info("target requested back-off", extra={**fields, **times})
-        if signs.is_leaving and self._table.record_draining(incarnation):
+        if signs.is_draining and self._table.record_draining(incarnation):
             _LOG.info("target is draining", extra=fields)
             self._on_draining()
         self._limits.process_signals(incarnation, signs, may_end=is_work and not signs.has_not_run)
--- a/packages/damsonlaned/src/damsonlaned/gateway/_target_selector.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_target_selector.py
@@ -20,7 +20,7 @@
 )
 from damsonlane.targets import TargetRecord
 from damsonlane.warmup import WarmupLimiter, find_entry_share
-from damsonlaned.dialects import AnswerSigns
+from damsonlaned.dialects import ResponseSignals
 from damsonlaned.gateway._placement_client import PlacedPrompt
 from damsonlaned.gateway._view import FleetView
 from damsonlaned.http import ConnectionPool
@@ -248,7 +248,7 @@
                 chosen.target, health, self._now(), report=load, pace=pace, start=chosen.start
             )
 
-    def record_signals(self, chosen: ChosenTarget, signs: AnswerSigns, *, is_own: bool) -> None:
+    def record_signals(self, chosen: ChosenTarget, signs: ResponseSignals, *, is_own: bool) -> None:
         """Record the signals of a target in the head of a response.
 
         Args:
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_backoff_ends.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_backoff_ends.py
@@ -11,7 +11,7 @@
 from damsonlane.backoff import TargetIncarnation
 from damsonlane.targets import TargetRecord
 from damsonlaned import clock
-from damsonlaned.dialects import AnswerSigns
+from damsonlaned.dialects import ResponseSignals
 from damsonlaned.gateway.tests.harness import (
     TEST_TIMEOUT_SECONDS,
     AnswerHandler,
@@ -58,9 +58,9 @@
 
 def make_backoff_signals(
     record: TargetRecord, seconds: float
-) -> tuple[TargetIncarnation, AnswerSigns]:
+) -> tuple[TargetIncarnation, ResponseSignals]:
     """Return the incarnation of a target, and signals by which it requests back-off."""
-    signs = AnswerSigns(
+    signs = ResponseSignals(
         request_id=None, has_not_run=False, load=None, is_stream=False, backoff_seconds=seconds
     )
     return TargetIncarnation.of(record), signs
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_ended_targets.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_ended_targets.py
@@ -8,7 +8,7 @@
 
 from damsonlane.backoff import TargetIncarnation
 from damsonlane.quarantine import InterruptedRequest
-from damsonlaned.dialects import AnswerSigns
+from damsonlaned.dialects import ResponseSignals
 from damsonlaned.gateway._exit_detector import ExitDetector
 from damsonlaned.gateway.tests.harness import (
     TEST_TIMEOUT_SECONDS,
@@ -96,8 +96,8 @@
 
     async def test_the_exit_after_draining_in_a_response_counts_against_no_request(self) -> None:
         """The target may have exited before control learns that it is draining."""
-        signs = AnswerSigns(
-            request_id=None, has_not_run=False, load=None, is_stream=False, is_leaving=True
+        signs = ResponseSignals(
+            request_id=None, has_not_run=False, load=None, is_stream=False, is_draining=True
         )
         self.entry.view.announcements.record(TargetIncarnation.of(self.record), signs)
         await self.target.stop()
