--- a/packages/damsonlaned/src/damsonlaned/dialects/_interface.py
+++ b/packages/damsonlaned/src/damsonlaned/dialects/_interface.py
@@ -7,12 +7,12 @@
 from damsonlane.pools import PieceOrder
 from damsonlane.routes import RoutingDocument
 from damsonlaned.dialects._types import (
-    AnswerSigns,
     Attempt,
     CallerRequest,
+    ComputedPiece,
     ControlCall,
-    MadePiece,
     Refusal,
+    ResponseSignals,
 )
 from damsonlaned.http import HttpHead, HttpRequest, HttpResponse
 
@@ -35,7 +35,7 @@
         """Return an error response of our own; ``request_id`` may be empty."""
 
     @abstractmethod
-    def is_ready_call(self, request: HttpRequest) -> bool:
+    def is_readiness_check(self, request: HttpRequest) -> bool:
         """Return whether a request is a readiness check of this entry."""
 
     # Targets.
@@ -45,7 +45,7 @@
         """Return the request that is sent to a target for an attempt."""
 
     @abstractmethod
-    def read_signs(self, head: HttpHead) -> AnswerSigns:
+    def read_signals(self, head: HttpHead) -> ResponseSignals:
         """Return the signals in the head of a target's response."""
 
     # Stage pools.
@@ -55,7 +55,7 @@
         """Return the call that has a pool target compute pieces."""
 
     @abstractmethod
-    def read_pool_reply(self, body: bytes, count: int) -> tuple[MadePiece, ...]:
+    def read_pool_reply(self, body: bytes, count: int) -> tuple[ComputedPiece, ...]:
         """Return the result of each piece, in the order of the call.
 
         Args:
@@ -67,11 +67,11 @@
         """
 
     @abstractmethod
-    def make_free_call(self, handles: Sequence[str]) -> HttpRequest:
+    def make_release_call(self, handles: Sequence[str]) -> HttpRequest:
         """Return the call that has a pool target release results."""
 
     @abstractmethod
-    def read_maker(self, handle: str) -> str:
+    def read_result_address(self, handle: str) -> str:
         """Return the address of the pool target that stores a result."""
 
     # Calls to control replicas.
--- a/packages/damsonlaned/src/damsonlaned/dialects/_types.py
+++ b/packages/damsonlaned/src/damsonlaned/dialects/_types.py
@@ -38,11 +38,11 @@
     #: Seconds until its deadline, or None if it has none.
     deadline_seconds: float | None = None
     #: Shareable segments of its prompt, in order.
-    prefix: tuple[PrefixSegment, ...] = ()
+    prefix_segments: tuple[PrefixSegment, ...] = ()
     #: Length of its prompt, in tokens.
-    tokens_in: int = 0
+    prompt_tokens: int = 0
     #: Most tokens that the caller wants in return.
-    tokens_out: int = 0
+    max_output_tokens: int = 0
     #: Number of pieces of each stage.
     pieces: tuple[int, ...] = ()
     #: Key of the input material of its first stages, or an empty string.
@@ -64,14 +64,14 @@
     #: Handles of the stage results that it needs.
     inputs: tuple[str, ...] = ()
     #: Id of the last event that the caller received, where an event stream is resumed; else None.
-    last_event: str | None = None
+    last_event_id: str | None = None
     #: Address of an engine from which the target should copy cached prompt segments, or an empty
     #: string.
-    source: str = ""
+    cache_source: str = ""
 
 
 @dataclass(frozen=True, kw_only=True)
-class AnswerSigns:
+class ResponseSignals:
     """What the head of a target's response says besides its status."""
 
     #: Id of the request that the response belongs to, or None.
@@ -85,12 +85,12 @@
     #: Seconds of back-off that the target requests from this box.
     backoff_seconds: float = 0.0
     #: Whether the target announces that it is draining.
-    is_leaving: bool = False
+    is_draining: bool = False
     #: Rate limit that the target announces, in requests per second from all boxes together; None
     #: if it announces none.
     rate_limit: float | None = None
 
-    def says_what_it_takes(self) -> bool:
+    def is_announced_rejection(self) -> bool:
         """Return whether the target rejected the request by a back-off or rate limit of its own."""
         return self.backoff_seconds > 0 or (self.has_not_run and self.rate_limit is not None)
 
@@ -110,7 +110,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class MadePiece:
+class ComputedPiece:
     """The result of one piece, as its pool target reports it."""
 
     #: Handle of the stored result, or an empty string.
@@ -128,7 +128,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Departure:
+class Deregistration:
     """A target deregisters: it has shut down."""
 
     #: Its name.
@@ -166,4 +166,4 @@
     """An operator asks for the routing document in force."""
 
 
-ControlCall = Heartbeat | Departure | PutDocument | ReadDocument | Evacuate | Restore
+ControlCall = Heartbeat | Deregistration | PutDocument | ReadDocument | Evacuate | Restore
