--- a/packages/damsonlaned/src/damsonlaned/gateway/_attempts.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_attempts.py
@@ -26,7 +26,7 @@
 RESPONSE_TRANSIT_SECONDS: Final = 0.01
 #: Responses to other requests that are skipped on one connection.
 MAX_SKIPPED_RESPONSES: Final = 3
-#: Share of the allowed retries that is used, since boxes do not see each other's.
+#: Share of the allowed retries that is used, since boxes do not see the retries of each other.
 BUDGET_SHARE: Final = 0.7
 #: Largest urgency value that targets accept; it is the least urgent.
 LEAST_URGENT: Final = 9
@@ -54,7 +54,7 @@
         placements: requests the placement of prompts at engines.
         permits: requests permits for targets that announced rate limits.
         dialect: renders requests and reads responses.
-        share: retries that the fleet may make, as a share of first attempts.
+        share: retries that the fleet may make, as a share of the number of first attempts.
         window: seconds over which that share is counted.
         slack: retries that the fleet may make in one window besides that share.
     """
@@ -71,7 +71,7 @@
     ) -> None:
         self._targets: Final = targets
         self._placements: Final = placements
-        self._places: Final = LimitedTargetSelector(targets, permits)
+        self._limited_targets: Final = LimitedTargetSelector(targets, permits)
         self._dialect: Final = dialect
         self._share: Final = share
         self._window: Final = window
@@ -79,30 +79,30 @@
         self._budgets: dict[str, WindowedRetryBudget] = {}
 
     async def choose(
-        self, call: Call, avoid: Collection[str], places: Sequence[InputLocation] = ()
+        self, call: Call, avoid: Collection[str], input_locations: Sequence[InputLocation] = ()
     ) -> ChosenTarget | NoTarget:
         """Choose a target for a request.
 
         Args:
             call: the request.
             avoid: targets that failed it already.
-            places: where its stage results are stored.
+            input_locations: where its stage results are stored.
         """
-        placed = await self._place_prompt(call, avoid, places)
-        return placed or await self._places.choose(call.service, _find_prompt(call), avoid)
+        placed = await self._place_prompt(call, avoid, input_locations)
+        return placed or await self._limited_targets.choose(call.service, _find_prompt(call), avoid)
 
     async def find_begin_wait(self, call: Call) -> NoTarget | None:
         """Return why a request may not begin its stages yet; None if it may begin now."""
-        return await self._places.check_admission(call.service)
+        return await self._limited_targets.check_admission(call.service)
 
     async def _place_prompt(
-        self, call: Call, avoid: Collection[str], places: Sequence[InputLocation]
+        self, call: Call, avoid: Collection[str], input_locations: Sequence[InputLocation]
     ) -> ChosenTarget | None:
         """Request the placement of a prompt; None where this entry chooses the engine itself."""
         if call.service.engine is None:
             return None
         unusable = {*avoid, *self._targets.list_unusable(call.service)}
-        order = _make_prompt_order(call, tuple(sorted(unusable)), tuple(places))
+        order = _make_prompt_order(call, tuple(sorted(unusable)), tuple(input_locations))
         placed = await self._placements.place(call.service.name, order)
         if placed is None or placed.target in unusable:
             return None
@@ -172,11 +172,11 @@
             },
         )
         try:
-            head, signs = await self._read_own_head(exchange, call, chosen)
+            head, signals = await self._read_own_head(exchange, call, chosen)
         except BaseException:
             exchange.finish()
             raise
-        return OpenedExchange(chosen=chosen, exchange=exchange, head=head, signs=signs)
+        return OpenedExchange(chosen=chosen, exchange=exchange, head=head, signs=signals)
 
     def finish(self, opened: OpenedExchange, health: HealthSignal) -> None:
         """End an attempt: return its connection and record the health of the target."""
@@ -198,18 +198,20 @@
     async def _read_own_head(
         self, exchange: HttpExchange, call: Call, chosen: ChosenTarget
     ) -> tuple[HttpHead, ResponseSignals]:
-        """Return the head of the response to this request, skipping those to others."""
+        """Return the head of the response to this request; skip responses to other requests."""
         for _ in range(MAX_SKIPPED_RESPONSES + 1):
             head = await exchange.read_head()
-            signs = self._dialect.read_signals(head)
-            is_own = signs.request_id == call.request.request_id or _is_rejection_without_id(signs)
+            signals = self._dialect.read_signals(head)
+            is_own = signals.request_id == call.request.request_id or _is_rejection_without_id(
+                signals
+            )
             # A response to another request carries signals of the target, too.
-            self._targets.record_signals(chosen, signs, is_own=is_own)
+            self._targets.record_signals(chosen, signals, is_own=is_own)
             if is_own:
-                return head, signs
+                return head, signals
             _LOG.warning(
                 "skipped the response to another request",
-                extra={**call.log_fields(), "other": signs.request_id},
+                extra={**call.log_fields(), "other": signals.request_id},
             )
             await exchange.skip_response()
         raise IncompleteResponseError("the target sent only answers to other requests")
@@ -233,7 +235,7 @@
 
 
 def _make_prompt_order(
-    call: Call, avoid: tuple[str, ...], places: tuple[InputLocation, ...]
+    call: Call, avoid: tuple[str, ...], input_locations: tuple[InputLocation, ...]
 ) -> PlacementRequest:
     """Return the order to place the prompt of a request; the client sets its number."""
     now = asyncio.get_running_loop().time()
@@ -246,10 +248,10 @@
         tokens=call.request.prompt_tokens,
         aim_left_seconds=call.objective_at - now,
         avoid=avoid,
-        inputs=places,
+        inputs=input_locations,
     )
 
 
-def _is_rejection_without_id(signs: ResponseSignals) -> bool:
+def _is_rejection_without_id(signals: ResponseSignals) -> bool:
     """Return whether a target rejected a request before it read the id."""
-    return signs.request_id is None and signs.has_not_run
+    return signals.request_id is None and signals.has_not_run
--- a/packages/damsonlaned/src/damsonlaned/gateway/_caller_service.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_caller_service.py
@@ -102,7 +102,7 @@
         """Return the response to a malformed request."""
         return self._dependencies.dialect.render_refusal(Refusal(status=status, detail=detail), "")
 
-    async def serve(self, http: HttpRequest, reply: ResponseWriter) -> None:
+    async def serve(self, http: HttpRequest, writer: ResponseWriter) -> None:
         """Serve one request."""
         self._in_flight += 1
         request_id = ""
@@ -113,18 +113,18 @@
             await self._wait_for_routes()
             call = self._admit(request, arrived_at)
         except _RefusedError as error:
-            self._refuse(error.refusal, request_id, http, reply)
+            self._refuse(error.refusal, request_id, http, writer)
             return
         else:
-            await self._run_handler(call, reply)
+            await self._run_handler(call, writer)
         finally:
             self._in_flight -= 1
 
-    async def _run_handler(self, call: Call, reply: ResponseWriter) -> None:
+    async def _run_handler(self, call: Call, writer: ResponseWriter) -> None:
         dependencies = self._dependencies
         handler = RequestHandler(
             call,
-            reply,
+            writer,
             dependencies.attempts,
             dependencies.stages,
             dependencies.exit_detector,
@@ -219,9 +219,9 @@
         return organisation
 
     def _refuse(
-        self, refusal: Refusal, request_id: str, http: HttpRequest, reply: ResponseWriter
+        self, refusal: Refusal, request_id: str, http: HttpRequest, writer: ResponseWriter
     ) -> None:
-        reply.send_response(self._dependencies.dialect.render_refusal(refusal, request_id))
+        writer.send_response(self._dependencies.dialect.render_refusal(refusal, request_id))
         self._dependencies.metrics.requests.inc(
             {"route": "", "outcome": f"refused-{refusal.status}"}
         )
--- a/packages/damsonlaned/src/damsonlaned/gateway/_final_response.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_final_response.py
@@ -11,13 +11,13 @@
 
     Args:
         request_id: id of the request.
-        reply: where the response is written.
+        writer: where the response is written.
         dialect: renders refusals.
     """
 
-    def __init__(self, request_id: str, reply: ResponseWriter, dialect: Dialect) -> None:
+    def __init__(self, request_id: str, writer: ResponseWriter, dialect: Dialect) -> None:
         self._request_id: Final = request_id
-        self._reply: Final = reply
+        self._writer: Final = writer
         self._dialect: Final = dialect
         #: Outcome of the request, for logs and metrics.
         self.outcome = "gone"
@@ -26,21 +26,21 @@
 
     def has_begun(self) -> bool:
         """Return whether the caller has a part of the response."""
-        return self._reply.has_started
+        return self._writer.has_started
 
     def send_whole(self, response: HttpResponse) -> None:
         """Send the response of a target."""
-        self._reply.send_response(response)
+        self._writer.send_response(response)
         self.outcome = "answered"
 
     def send_failure(self, response: HttpResponse) -> None:
         """Send the failure response of a target."""
         self.outcome = "target-failed"
-        self._reply.send_response(response)
+        self._writer.send_response(response)
 
     def start(self, head: HttpHead) -> None:
         """Begin a stream."""
-        self._reply.start(head)
+        self._writer.start(head)
 
     async def send(self, data: bytes) -> None:
         """Send a part of a stream.
@@ -48,24 +48,24 @@
         Raises:
             CallerDisconnectedError: the caller closed its connection.
         """
-        await self._reply.send(data)
+        await self._writer.send(data)
 
     def finish(self) -> None:
         """End a stream."""
-        self._reply.finish()
+        self._writer.finish()
         self.outcome = "answered"
 
     def cut(self, detail: str) -> None:
         """Abort a stream whose remainder is lost."""
         self.outcome = "cut"
         self.detail = detail
-        self._reply.abort()
+        self._writer.abort()
 
     def refuse(self, refusal: Refusal) -> None:
         """Send a refusal of this entry, or abort a stream that has begun."""
-        if self._reply.has_started:
+        if self._writer.has_started:
             self.cut(refusal.detail)
             return
         self.outcome = f"refused-{refusal.status}"
         self.detail = refusal.detail
-        self._reply.send_response(self._dialect.render_refusal(refusal, self._request_id))
+        self._writer.send_response(self._dialect.render_refusal(refusal, self._request_id))
--- a/packages/damsonlaned/src/damsonlaned/gateway/_limited_targets.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_limited_targets.py
@@ -11,7 +11,7 @@
 from damsonlaned.gateway._permit_client import PermitClient
 from damsonlaned.gateway._target_selector import ChosenTarget, Prompt, TargetSelector
 
-#: Seconds for which rate-limited targets get nothing after no owner answered.
+#: Seconds for which rate-limited targets get nothing after a permit order was not answered.
 UNANSWERED_SECONDS: Final = 0.2
 #: Least seconds between two permit orders for a target, while other targets accept requests.
 MIN_PERMIT_INTERVAL_SECONDS: Final = 0.02
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class NoTarget:
-    """The result of a selection while no target may get the request."""
+    """The result of a selection when no target may get the request."""
 
     #: Human-readable reason.
     detail: str = "the service has no target"
@@ -30,10 +30,10 @@
 
 
 class LimitedTargetSelector:
-    """Selects targets, with a permit where the best one is rate limited.
+    """Selects targets, with a permit if the selected one is rate limited.
 
     Args:
-        targets: ranks the targets.
+        targets: chooses among the targets.
         permits: requests permits.
     """
 
@@ -51,14 +51,16 @@
             return self._targets.choose(service, prompt, avoid) or NoTarget()
         if self._targets.are_all_rate_limited(service):
             return await self._choose_among_limited(service, limited, avoid)
-        at_rate = self._list_at_rate_limit(limited)
-        chosen = self._targets.choose(service, prompt, avoid, at_rate)
+        at_rate_limit = self._list_at_rate_limit(limited)
+        chosen = self._targets.choose(service, prompt, avoid, at_rate_limit)
         if chosen is None or chosen.target not in limited:
             return chosen or NoTarget()
         # A rate-limited target is preferred like any other until it is at its limit.
         self._targets.release_unused(chosen)
         others = [
-            incarnation for name, incarnation in limited.items() if name not in {*avoid, *at_rate}
+            incarnation
+            for name, incarnation in limited.items()
+            if name not in {*avoid, *at_rate_limit}
         ]
         others.sort(key=lambda incarnation: incarnation.target != chosen.target)
         permitted = await self._choose_with_permit(service, others)
@@ -77,7 +79,7 @@
     async def _choose_among_limited(
         self, service: Service, limited: dict[str, TargetIncarnation], avoid: Collection[str]
     ) -> ChosenTarget | NoTarget:
-        """Return a target where all are rate limited, or when the caller should retry."""
+        """Return a target where all are rate limited, or why none may get the request."""
         untried = [incarnation for name, incarnation in limited.items() if name not in avoid]
         targets = untried or list(limited.values())
         permit = await self._permits.ask(service.name, targets, is_last=True)
--- a/packages/damsonlaned/src/damsonlaned/gateway/_node.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_node.py
@@ -175,9 +175,9 @@
         await self._pools.stop()
         await self._admin.stop()
 
-    async def _serve_readiness(self, request: HttpRequest, reply: ResponseWriter) -> None:
+    async def _serve_readiness(self, request: HttpRequest, writer: ResponseWriter) -> None:
         is_ready = self._dialect.is_readiness_check(request) and self.is_ready()
-        reply.send_response(HttpResponse(status=200 if is_ready else 503))
+        writer.send_response(HttpResponse(status=200 if is_ready else 503))
 
     def _update_control(self, addresses: tuple[str, ...]) -> None:
         self._control.update_addresses(addresses)
--- a/packages/damsonlaned/src/damsonlaned/gateway/_pool_calls.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_pool_calls.py
@@ -85,12 +85,12 @@
 
     Args:
         dialect: encodes and decodes the calls.
-        notices: processes the signals in the heads of answers.
+        announcements: processes the signals in the heads of answers.
     """
 
-    def __init__(self, dialect: Dialect, notices: TargetAnnouncements) -> None:
+    def __init__(self, dialect: Dialect, announcements: TargetAnnouncements) -> None:
         self._dialect: Final = dialect
-        self._notices: Final = notices
+        self._announcements: Final = announcements
 
     async def compute(
         self, connections: ConnectionPool, call: BatchCall, on_sent: Callable[[], None]
@@ -157,7 +157,7 @@
         try:
             head = await exchange.read_head()
             signals = self._dialect.read_signals(head)
-            self._notices.record(target.incarnation, signals, is_work=is_work)
+            self._announcements.record(target.incarnation, signals, is_work=is_work)
             body = await exchange.body.read_all()
         finally:
             exchange.finish()
--- a/packages/damsonlaned/src/damsonlaned/gateway/_pool_client.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_pool_client.py
@@ -115,9 +115,9 @@
         else:
             self._find_link(owner).send(PoolOrders(service=service, freed=tuple(handles)))
 
-    def wait_seconds(self, service: str, rank: int) -> float:
+    def wait_seconds(self, service: str, priority: int) -> float:
         """Return the remaining seconds of a pool's last reported queueing time for a priority."""
-        return self._waits.seconds(service, rank, asyncio.get_running_loop().time())
+        return self._waits.seconds(service, priority, asyncio.get_running_loop().time())
 
     def has_queue(self, service: str) -> bool:
         """Return whether pieces of any priority wait in a pool, by the last reports."""
--- a/packages/damsonlaned/src/damsonlaned/gateway/_pool_owner.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_pool_owner.py
@@ -46,7 +46,7 @@
         targets: provides the connections to them.
         dialect: encodes and decodes their calls.
         metrics: counts pieces and calls by outcome.
-        ended: finds out which targets have exited.
+        exit_detector: finds out which targets have exited.
         quarantine: withholds requests under which targets exit.
     """
 
@@ -57,10 +57,10 @@
         targets: TargetSelector,
         dialect: Dialect,
         metrics: PoolMetrics,
-        ended: ExitDetector,
+        exit_detector: ExitDetector,
         quarantine: Quarantine,
     ) -> None:
-        self._ended: Final = ended
+        self._exit_detector: Final = exit_detector
         self._quarantine: Final = quarantine
         self._service: Final = service
         self._view: Final = view
@@ -192,8 +192,8 @@
     def _isolate_suspects(self, batch: tuple[WaitingPiece, ...]) -> tuple[WaitingPiece, ...]:
         """Return the part of a batch that may run together, and queue the rest again.
 
-        A request suspected of crashing targets runs in calls of its own: a request that always
-        shared its calls could not be told apart from it, and would be quarantined as well.
+        A request suspected of crashing targets runs in calls of its own. A request that always
+        shared its calls could not be distinguished from it, and would be quarantined as well.
         """
         if not any(self._quarantine.is_suspect(piece.order.fingerprint) for piece in batch):
             return batch
@@ -224,11 +224,13 @@
         service = self._find_service()
         if service is not None and service.pool is not None:
             now = self._now()
-            offer = self._pool_targets.make_offer(None, service.pool, now)
-            # pieces_within_call is 0 while rate limits delay the next call of every target
-            # for long.
-            take = self._queue.take_expired if offer.pieces_within_call else self._queue.take_late
-            self._refuse(take(now, offer))
+            capacity = self._pool_targets.make_offer(None, service.pool, now)
+            # pieces_within_call is 0 while rate limits delay the next call of every target for
+            # a long time.
+            take = (
+                self._queue.take_expired if capacity.pieces_within_call else self._queue.take_late
+            )
+            self._refuse(take(now, capacity))
         self._dispatch()
 
     def _refuse(self, late: Sequence[WaitingPiece]) -> None:
@@ -259,8 +261,8 @@
         try:
             connections = self._targets.connections(service, target.name, target.address)
             on_sent = read_timer.start if target.reads_at_once(began_at) else _do_nothing
-            replies = await self._calls.compute(connections, call, on_sent)
-            sizes = self._deliver(call, replies)
+            computed = await self._calls.compute(connections, call, on_sent)
+            sizes = self._deliver(call, computed)
             seconds = self._now() - began_at
             target.record_duration_ratio(seconds / call.seconds, self._now())
             if call.is_saturated and service.pool is not None:
@@ -269,7 +271,7 @@
         except NotSentError as error:
             self._record_failed_call(call, str(error), has_run=False)
         except TimeoutError:
-            self._ended.report_silent(
+            self._exit_detector.report_silent(
                 LostTarget.of(target.incarnation), self._describe_runs(call, began_at)
             )
             self._record_failed_call(call, "no answer in time", has_run=True)
@@ -307,18 +309,18 @@
             },
         )
 
-    def _deliver(self, call: BatchCall, replies: Sequence[ComputedPiece]) -> dict[str, int]:
+    def _deliver(self, call: BatchCall, computed: Sequence[ComputedPiece]) -> dict[str, int]:
         """Deliver the results of a call; return their sizes by handle."""
         sizes: dict[str, int] = {}
         failed: list[WaitingPiece] = []
         out_of_memory: list[WaitingPiece] = []
-        for piece, reply in zip(call.batch, replies, strict=True):
-            if reply.handle:
-                sizes[reply.handle] = piece.order.result_bytes
-                self._answers.answer(piece, handle=reply.handle)
-            elif reply.fault in ("late", "lost-input"):
-                self._answers.answer(piece, fault=reply.fault)
-            elif reply.fault == "no-room":
+        for piece, result in zip(call.batch, computed, strict=True):
+            if result.handle:
+                sizes[result.handle] = piece.order.result_bytes
+                self._answers.answer(piece, handle=result.handle)
+            elif result.fault in ("late", "lost-input"):
+                self._answers.answer(piece, fault=result.fault)
+            elif result.fault == "no-room":
                 out_of_memory.append(piece)
             else:
                 failed.append(piece)
@@ -341,7 +343,7 @@
     async def _record_broken_call(self, call: BatchCall, began_at: float) -> None:
         """Find out whether the target exited, before its pieces go to another one."""
         runs = self._describe_runs(call, began_at)
-        if await self._ended.report_broken(LostTarget.of(call.target.incarnation), runs):
+        if await self._exit_detector.report_broken(LostTarget.of(call.target.incarnation), runs):
             await self._quarantine.wait_until_reported(*(run.fingerprint for run in runs))
 
     def _describe_runs(self, call: BatchCall, began_at: float) -> tuple[InterruptedRequest, ...]:
@@ -385,8 +387,8 @@
         if service is None or service.pool is None or not targets:
             return 0.0
         now = self._now()
-        offer = self._pool_targets.make_offer(None, service.pool, now)
-        return self._queue.estimate_wait(now, offer, like)
+        capacity = self._pool_targets.make_offer(None, service.pool, now)
+        return self._queue.estimate_wait(now, capacity, like)
 
     # Targets.
 
--- a/packages/damsonlaned/src/damsonlaned/gateway/_pool_owners.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_pool_owners.py
@@ -20,7 +20,7 @@
         targets: provides the connections to them.
         dialect: encodes and decodes their calls.
         metrics: the metrics of the process.
-        ended: finds out which targets have exited.
+        exit_detector: finds out which targets have exited.
         quarantine: withholds requests under which targets exit.
     """
 
@@ -30,10 +30,10 @@
         targets: TargetSelector,
         dialect: Dialect,
         metrics: Metrics,
-        ended: ExitDetector,
+        exit_detector: ExitDetector,
         quarantine: Quarantine,
     ) -> None:
-        self._ended: Final = ended
+        self._exit_detector: Final = exit_detector
         self._quarantine: Final = quarantine
         self._view: Final = view
         self._targets: Final = targets
@@ -50,7 +50,7 @@
                 self._targets,
                 self._dialect,
                 PoolMetrics(service, self._metrics),
-                self._ended,
+                self._exit_detector,
                 self._quarantine,
             )
         return self._owners[service]
--- a/packages/damsonlaned/src/damsonlaned/gateway/_process.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_process.py
@@ -19,16 +19,16 @@
 
 
 async def run_gateway(
-    settings: BoxSettings, gateway: Gateway, keys: TlsContexts, reload: Reload | None
+    settings: BoxSettings, gateway: Gateway, tls_contexts: TlsContexts, reload: Reload | None
 ) -> None:
     """Run the entry until the process is asked to stop."""
-    node = GatewayNode(settings, gateway, keys.client)
+    node = GatewayNode(settings, gateway, tls_contexts.client)
 
-    watch = SettingsReloader(settings, reload, lambda newer: node.replace_seeds(newer.control))
-    server = await start_rpc_server(settings, RpcService(dict(node.handlers())), keys)
+    reloader = SettingsReloader(settings, reload, lambda newer: node.replace_seeds(newer.control))
+    server = await start_rpc_server(settings, RpcService(dict(node.handlers())), tls_contexts)
     await node.start()
     _LOG.info("started")
-    await wait_for_stop(watch)
+    await wait_for_stop(reloader)
     await node.stop()
     await stop_rpc_server(server)
     _LOG.info("stopped")
--- a/packages/damsonlaned/src/damsonlaned/gateway/_prompt_placer.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_prompt_placer.py
@@ -27,10 +27,10 @@
         seconds_per_token = (
             properties.token_bytes / properties.link_speed if properties.link_speed else None
         )
-        self._book: Final = EngineTable(properties.cache_tokens, seconds_per_token)
+        self._engine_table: Final = EngineTable(properties.cache_tokens, seconds_per_token)
         self._sides: Final = PromptPartition()
         self._warm_up_gate: Final = WarmupLimiter()
-        self._places: tuple[EngineLocation, ...] = ()
+        self._engines: tuple[EngineLocation, ...] = ()
         view.on_change(self._update_engines)
         self._update_engines()
 
@@ -42,11 +42,11 @@
         """Record the outcomes of prompts."""
         now = asyncio.get_running_loop().time()
         for read in reads:
-            self._book.record_outcome(sender, read, now)
+            self._engine_table.record_outcome(sender, read, now)
 
     def _place_one(self, sender: str, order: PlacementRequest) -> Placement:
         self._sides.record(order.tokens)
-        side = self._sides.find_engines(order.tokens, self._places)
+        side = self._sides.find_engines(order.tokens, self._engines)
         now = asyncio.get_running_loop().time()
         warming_up = self._view.list_warming_up(self._service)
         limited = self._view.list_rate_limited(self._service)
@@ -54,7 +54,7 @@
             *self._list_at_warm_up_limit(warming_up, now),
             *self._list_at_rate_limit(limited),
         ]
-        placement = self._book.place(sender, order, side, now, excluded, limited)
+        placement = self._engine_table.place(sender, order, side, now, excluded, limited)
         if placement.target in warming_up:
             self._warm_up_gate.record(placement.target, now)
         if placement.target in limited:
@@ -80,13 +80,13 @@
     def _update_engines(self) -> None:
         """Replace the known engines by those that are live."""
         records = self._view.open_targets_of(self._service)
-        self._places = tuple(
+        self._engines = tuple(
             EngineLocation(target=record.target, data_centre=record.data_centre, start=record.start)
             for record in records
             if record.standing == "live"
         )
-        self._book.update(self._places)
-        self._warm_up_gate.retain_only({place.target for place in self._places})
+        self._engine_table.update(self._engines)
+        self._warm_up_gate.retain_only({engine.target for engine in self._engines})
 
 
 class PromptPlacers:
--- a/packages/damsonlaned/src/damsonlaned/gateway/_rate_limits.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_rate_limits.py
@@ -35,8 +35,8 @@
     ) -> None:
         self._clock: Final = clock
         self._find_service: Final = find_service
-        self._book: Final = RateLimitTable()
-        self._issuer: Final = PermitIssuer(self._book)
+        self._table: Final = RateLimitTable()
+        self._issuer: Final = PermitIssuer(self._table)
         self._listed = RateLimitList(revision=-1)
         self._received_listeners: list[OnReport] = []
         self._update_listeners: list[OnReport] = []
@@ -93,22 +93,22 @@
     def forget_unlisted(self, known: Collection[TargetIncarnation]) -> None:
         """Forget incarnations that control no longer lists, as targets or as rate limited."""
         listed = {*known, *(report.named for report in self._listed.words)}
-        self._book.retain_only(listed, self._clock())
+        self._table.retain_only(listed, self._clock())
         self._issuer.retain_only(listed)
 
     # Known limits.
 
     def is_limited(self, incarnation: TargetIncarnation) -> bool:
         """Return whether a target announced a rate limit low enough to bind."""
-        return self._book.is_limited(incarnation)
+        return self._table.is_limited(incarnation)
 
     def find_rate(self, incarnation: TargetIncarnation) -> float | None:
         """Return the rate limit of a target in requests per second; None without one."""
-        return None if self._book.is_empty() else self._book.find_rate(incarnation)
+        return None if self._table.is_empty() else self._table.find_rate(incarnation)
 
     def list_reports(self) -> tuple[RateLimitReport, ...]:
         """Return a report of each rate limit in force, to send to a peer."""
-        return () if self._book.is_empty() else self._book.list_reports(self._clock())
+        return () if self._table.is_empty() else self._table.list_reports(self._clock())
 
     # Permits that this box issues.
 
@@ -141,7 +141,7 @@
         return tuple(self._issuer.issue(service, order, share, now) for order in orders)
 
     def _record(self, report: RateLimitReport) -> bool:
-        is_new = self._book.record(report, self._clock())
+        is_new = self._table.record(report, self._clock())
         if is_new:
             # Create the token bucket now, so that it fills before the first permit is ordered.
             self.wait_seconds(self._find_service(report.named), report.named)
--- a/packages/damsonlaned/src/damsonlaned/gateway/_reported_waits.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_reported_waits.py
@@ -19,20 +19,20 @@
 
 
 class ReportedWaits:
-    """The last reported queueing time of each pool and priority (``rank``)."""
+    """The last reported queueing time of each pool and priority."""
 
     def __init__(self) -> None:
         self._waits: dict[tuple[str, int], _Wait] = {}
 
-    def record(self, service: str, rank: int, seconds: float, now: float) -> None:
+    def record(self, service: str, priority: int, seconds: float, now: float) -> None:
         """Record the reported queueing time for pieces of a priority."""
-        self._waits[(service, rank)] = _Wait(
+        self._waits[(service, priority)] = _Wait(
             seconds=min(seconds, MAX_WAIT_SECONDS), reported_at=now
         )
 
-    def seconds(self, service: str, rank: int, now: float) -> float:
+    def seconds(self, service: str, priority: int, now: float) -> float:
         """Return the remaining queueing time for a priority in seconds; 0 without a report."""
-        known = self._waits.get((service, rank))
+        known = self._waits.get((service, priority))
         if known is None:
             return 0.0
         age = now - known.reported_at
@@ -41,7 +41,7 @@
     def has_queue(self, service: str, now: float) -> bool:
         """Return whether pieces of any priority wait at a pool."""
         return any(
-            self.seconds(service, rank, now) > 0.0
-            for known, rank in self._waits
+            self.seconds(service, priority, now) > 0.0
+            for known, priority in self._waits
             if known == service
         )
--- a/packages/damsonlaned/src/damsonlaned/gateway/_request_handler.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_request_handler.py
@@ -41,7 +41,7 @@
 
     Args:
         call: the request.
-        reply: where the response is written.
+        writer: where the response is written.
         attempts: sends the request to targets.
         stages: runs the stages.
         exit_detector: detects targets that exited.
@@ -53,7 +53,7 @@
     def __init__(
         self,
         call: Call,
-        reply: ResponseWriter,
+        writer: ResponseWriter,
         attempts: Attempts,
         stages: StageRunner,
         exit_detector: ExitDetector,
@@ -73,7 +73,7 @@
         self._last_event: str | None = None
         self._times: Final = RequestTimes(call.arrived_at)
         self._history: Final = AttemptHistory(call)
-        self._response: Final = FinalResponse(call.request.request_id, reply, dialect)
+        self._response: Final = FinalResponse(call.request.request_id, writer, dialect)
         self._responder: Final = FailureResponder(self._response, self._history)
         self._target_wait: Final = TargetWait(
             call, attempts, stages, self._history, self._response, self._responder
@@ -110,7 +110,7 @@
     def _stop(self, limit: asyncio.Timeout) -> None:
         """Abandon a request that was just quarantined, unless its response has begun.
 
-        A target where it is still queued drops it, and does not exit under it.
+        A target that has not begun it yet drops it from its queue, and so does not exit under it.
         """
         if not self._response.has_begun() and not limit.expired():
             self._is_stopped = True
@@ -207,11 +207,11 @@
             TimeoutError: the target did not respond in time.
         """
         inputs = self._results.inputs if self._results is not None else ()
-        reading = InputReadTimer(self._release_read_results)
+        read_timer = InputReadTimer(self._release_read_results)
         try:
             async with asyncio.timeout(self._history.response_timeout_seconds()):
                 return await self._attempts.open(
-                    self._call, chosen, inputs, self._last_event, reading.start
+                    self._call, chosen, inputs, self._last_event, read_timer.start
                 )
         except (NotSentError, IncompleteResponseError, TimeoutError):
             self._attempts.finish_unopened(chosen, "bad")
@@ -221,7 +221,7 @@
             self._attempts.finish_unopened(chosen, "neutral")
             raise
         finally:
-            reading.cancel()
+            read_timer.cancel()
 
     def _may_retry(self) -> bool:
         """Return whether the request may be retried, and charge the retry budget for it."""
@@ -276,7 +276,7 @@
         splitter = EventSplitter()
         health: HealthSignal = "neutral"
         try:
-            async for data in self._read_parts(opened):
+            async for data in self._read_chunks(opened):
                 for event in splitter.feed(data):
                     await self._forward_event(opened, event.data, event.event_id)
             if splitter.remainder():
@@ -313,23 +313,23 @@
         if event_id is not None:
             self._last_event = event_id
 
-    async def _read_parts(self, opened: OpenedExchange) -> AsyncIterator[bytes]:
-        """Yield the parts of a stream.
+    async def _read_chunks(self, opened: OpenedExchange) -> AsyncIterator[bytes]:
+        """Yield the body of a stream as it arrives.
 
         Raises:
             StreamTimeoutError: nothing arrived for too long, and the stream may be resumed.
         """
-        parts = opened.exchange.body.iter_parts()
+        chunks = opened.exchange.body.iter_parts()
         while True:
             try:
                 pause = self._history.pause_seconds(has_begun=self._response.has_begun())
                 async with asyncio.timeout(pause):
-                    part = await anext(parts)
+                    chunk = await anext(chunks)
             except StopAsyncIteration:
                 return
             except TimeoutError:
                 raise StreamTimeoutError("the stream fell silent") from None
-            yield part
+            yield chunk
 
     # Results of stages, and the log.
 
--- a/packages/damsonlaned/src/damsonlaned/gateway/_stage_attempt.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_stage_attempt.py
@@ -41,10 +41,10 @@
     #: The service that computed each held result, by the result's handle.
     held: dict[str, str] = field(default_factory=dict)
 
-    def record(self, start: ReadyStage, piece: int, handle: str) -> None:
+    def record(self, ready: ReadyStage, piece: int, handle: str) -> None:
         """Record the result of a piece."""
-        self.plan.record_result(start.index, piece, handle)
-        self.held[handle] = start.stage.service
+        self.plan.record_result(ready.index, piece, handle)
+        self.held[handle] = ready.stage.service
 
     def pop_spent(self, stage: int) -> StageResults:
         """Remove and return the held results that no stage needs after the given one."""
--- a/packages/damsonlaned/src/damsonlaned/gateway/_stage_orders.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_stage_orders.py
@@ -61,16 +61,16 @@
         wait = self._client.wait_seconds(stage.service, call.priority)
         return _typical_seconds(call, stage) + wait
 
-    def find_home(self, attempt: StageAttempt, start: ReadyStage) -> str:
+    def find_home(self, attempt: StageAttempt, ready: ReadyStage) -> str:
         """Return the preferred data centre of a stage, or an empty string.
 
         Only a stage with large inputs has one. Others may run anywhere, so that no target
         stays idle: the engine is chosen near their results.
         """
-        moved = start.pieces * _count_input_bytes(attempt.call, start)
-        if not start.inputs or moved < HOME_BYTES:
+        moved = ready.pieces * _count_input_bytes(attempt.call, ready)
+        if not ready.inputs or moved < HOME_BYTES:
             return ""
-        return self._most_common_data_centre(start.inputs)
+        return self._most_common_data_centre(ready.inputs)
 
     def find_input_places(self, attempt: StageAttempt) -> tuple[InputLocation, ...]:
         """Return the bytes of the last step's inputs that each data centre holds."""
@@ -82,23 +82,23 @@
         return tuple(InputLocation(data_centre=name, size=size) for name, size in sizes.items())
 
     def make_order(
-        self, attempt: StageAttempt, start: ReadyStage, piece: int, home: str
+        self, attempt: StageAttempt, ready: ReadyStage, piece: int, home: str
     ) -> PieceOrder:
         """Return the order for one piece; the client assigns its number.
 
         Args:
             attempt: the attempt that it belongs to.
-            start: the stage.
+            ready: the stage.
             piece: its index in the stage.
             home: the preferred data centre, or an empty string.
         """
         call = attempt.call
-        after = self._estimate_after(attempt, start)
+        after = self._estimate_after(attempt, ready)
         now = asyncio.get_running_loop().time()
         remaining = after.stages + after.queues + after.first_event
         aim_left = _find_objective(call, now) - now - remaining
         is_late_return = call.earlier_wait_seconds > 0 and aim_left < _typical_seconds(
-            call, start.stage
+            call, ready.stage
         )
         if is_late_return:
             # A retried request that will be late anyway gets the objective of a new one, so that
@@ -107,25 +107,25 @@
         return PieceOrder(
             number=0,
             request=call.request.request_id,
-            stage=start.index,
+            stage=ready.index,
             piece=piece,
-            material_key=call.request.material_key if not start.stage.after else "",
-            inputs=start.inputs,
+            material_key=call.request.material_key if not ready.stage.after else "",
+            inputs=ready.inputs,
             left_seconds=call.deadline_at - now - after.stages - after.first_event,
             aim_left_seconds=aim_left,
             is_late_return=is_late_return,
             give_up_left_seconds=_give_up_at(call) - now,
             rank=call.priority,
-            result_bytes=start.stage.result_bytes,
+            result_bytes=ready.stage.result_bytes,
             is_begun=call.has_response_begun or bool(attempt.held),
             fingerprint=call.fingerprint,
             home=home,
         )
 
-    def _estimate_after(self, attempt: StageAttempt, start: ReadyStage) -> _RemainingTime:
+    def _estimate_after(self, attempt: StageAttempt, ready: ReadyStage) -> _RemainingTime:
         """Return the estimated time that a request needs after a stage."""
         call = attempt.call
-        chain = attempt.plan.longest_chain_after(start.index)
+        chain = attempt.plan.longest_chain_after(ready.index)
         return _RemainingTime(
             stages=sum(_typical_seconds(call, stage) for stage in chain),
             queues=sum(self._client.wait_seconds(stage.service, call.priority) for stage in chain),
@@ -140,8 +140,8 @@
 
     def _most_common_data_centre(self, handles: Sequence[str]) -> str:
         """Return the data centre that holds most of some results."""
-        places = Counter(self._locate(handle) for handle in handles)
-        return places.most_common(1)[0][0]
+        data_centres = Counter(self._locate(handle) for handle in handles)
+        return data_centres.most_common(1)[0][0]
 
 
 def _find_objective(call: Call, now: float) -> float:
@@ -160,11 +160,11 @@
     return call.arrived_at + GIVE_UP_SHARE * (call.deadline_at - call.arrived_at)
 
 
-def _count_input_bytes(call: Call, start: ReadyStage) -> int:
+def _count_input_bytes(call: Call, ready: ReadyStage) -> int:
     """Return the bytes of inputs that one piece of a stage reads."""
     return sum(
         call.request.pieces[earlier] * call.route.stages[earlier].result_bytes
-        for earlier in start.stage.after
+        for earlier in ready.stage.after
     )
 
 
--- a/packages/damsonlaned/src/damsonlaned/gateway/_stage_runner.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_stage_runner.py
@@ -17,7 +17,7 @@
 
 _LOG: Final = logging.getLogger(__name__)
 
-#: Attempts at a request's stages, of which each may fail because an input was lost.
+#: Attempts at a request's stages; one that fails because an input was lost is retried.
 MAX_ATTEMPTS: Final = 2
 #: Least seconds after which a caller whose stages failed should retry.
 RETRY_SECONDS: Final = 0.5
@@ -114,8 +114,8 @@
         tasks: set[asyncio.Task[int]] = set()
         try:
             while not plan.is_done():
-                for start in plan.take_ready(partial(self._orders.estimate_seconds, call)):
-                    tasks.add(asyncio.ensure_future(self._run_stage(attempt, start)))
+                for ready in plan.take_ready(partial(self._orders.estimate_seconds, call)):
+                    tasks.add(asyncio.ensure_future(self._run_stage(attempt, ready)))
                 done, tasks = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
                 for task in done:
                     self.free(attempt.pop_spent(task.result()))
@@ -125,64 +125,64 @@
             await asyncio.gather(*tasks, return_exceptions=True)
             self.free(attempt.collect())
             raise
-        places = self._orders.find_input_places(attempt)
-        return replace(attempt.collect(), inputs=plan.final_inputs(), places=places)
+        locations = self._orders.find_input_places(attempt)
+        return replace(attempt.collect(), inputs=plan.final_inputs(), places=locations)
 
-    async def _run_stage(self, attempt: StageAttempt, start: ReadyStage) -> int:
+    async def _run_stage(self, attempt: StageAttempt, ready: ReadyStage) -> int:
         """Run one stage and return its index."""
         call = attempt.call
-        home = self._orders.find_home(attempt, start)
+        home = self._orders.find_home(attempt, ready)
         orders = [
-            self._orders.make_order(attempt, start, piece, home) for piece in range(start.pieces)
+            self._orders.make_order(attempt, ready, piece, home) for piece in range(ready.pieces)
         ]
-        on_read = partial(self._handle_read, attempt, start)
-        futures = self._client.order(start.stage.service, orders, on_read)
+        on_read = partial(self._handle_read, attempt, ready)
+        futures = self._client.order(ready.stage.service, orders, on_read)
         began_at = call.remaining()
-        await self._collect_results(attempt, start, futures)
+        await self._collect_results(attempt, ready, futures)
         _LOG.info(
             "stage made",
             extra={
                 **call.log_fields(),
-                "stage": start.index,
-                "service": start.stage.service,
-                "pieces": start.pieces,
+                "stage": ready.index,
+                "service": ready.stage.service,
+                "pieces": ready.pieces,
                 "home": home,
                 "seconds": round(began_at - call.remaining(), 3),
             },
         )
-        return start.index
+        return ready.index
 
-    def _handle_read(self, attempt: StageAttempt, start: ReadyStage, piece: int) -> None:
+    def _handle_read(self, attempt: StageAttempt, ready: ReadyStage, piece: int) -> None:
         """Free inputs that every piece has read, if other pieces wait for result memory.
 
         If none wait, the inputs are kept until the pieces are computed, so that a piece
         that fails can be retried with them.
         """
-        attempt.plan.record_inputs_read(start.index, piece)
+        attempt.plan.record_inputs_read(ready.index, piece)
         stages = attempt.call.route.stages
-        if any(self._client.has_queue(stages[earlier].service) for earlier in start.stage.after):
-            self.free(attempt.pop_spent(start.index))
+        if any(self._client.has_queue(stages[earlier].service) for earlier in ready.stage.after):
+            self.free(attempt.pop_spent(ready.index))
 
     async def _collect_results(
         self,
         attempt: StageAttempt,
-        start: ReadyStage,
+        ready: ReadyStage,
         futures: "Sequence[asyncio.Future[PieceResult]]",
     ) -> None:
-        """Wait for all pieces of a stage, or for the first that fails."""
+        """Wait for all pieces of a stage; raise an error for the first that fails."""
         try:
             for piece, future in enumerate(futures):
                 result = await future
                 if not result.handle:
-                    self._raise_fault(start, result)
-                attempt.record(start, piece, result.handle)
+                    self._raise_fault(ready, result)
+                attempt.record(ready, piece, result.handle)
         finally:
-            self._settle_remaining(attempt, start, futures)
+            self._settle_remaining(attempt, ready, futures)
 
     def _settle_remaining(
         self,
         attempt: StageAttempt,
-        start: ReadyStage,
+        ready: ReadyStage,
         futures: "Sequence[asyncio.Future[PieceResult]]",
     ) -> None:
         """Withdraw unfinished pieces, and record the results of finished ones so they are freed."""
@@ -190,14 +190,14 @@
             if not future.done():
                 future.cancel()
             elif not future.cancelled() and future.result().handle:
-                attempt.held[future.result().handle] = start.stage.service
+                attempt.held[future.result().handle] = ready.stage.service
 
-    def _raise_fault(self, start: ReadyStage, result: PieceResult) -> NoReturn:
+    def _raise_fault(self, ready: ReadyStage, result: PieceResult) -> NoReturn:
         """Raise the error for a piece that has no result."""
         if result.fault == "lost-input":
             raise _LostInputError
         reason = _FAULT_TEXTS[result.fault] if result.fault is not None else "no result"
-        detail = f"stage {start.index} of service {start.stage.service}: {reason}"
+        detail = f"stage {ready.index} of service {ready.stage.service}: {reason}"
         raise StageError(detail, RETRY_SECONDS + result.wait_seconds)
 
 
--- a/packages/damsonlaned/src/damsonlaned/gateway/_target_announcements.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_target_announcements.py
@@ -38,28 +38,30 @@
         self._randomness: Final = random.Random()
 
     def record(
-        self, incarnation: TargetIncarnation, signs: ResponseSignals, *, is_work: bool = True
+        self, incarnation: TargetIncarnation, signals: ResponseSignals, *, is_work: bool = True
     ) -> None:
         """Record the signals in the head of any response.
 
         Args:
             incarnation: the target.
-            signs: the signals.
+            signals: the signals.
             is_work: whether it is the response to a request that was just sent there.  Only
                 such a response, unless it is a rejection, ends a rate limit by not announcing
                 it; targets may omit the limit from others.
         """
         fields = {"target": incarnation.target, "start": incarnation.start}
-        if signs.backoff_seconds > 0:
-            seconds = signs.backoff_seconds
+        if signals.backoff_seconds > 0:
+            seconds = signals.backoff_seconds
             spread = draw_jitter_seconds(seconds, self._count_boxes(), self._randomness)
             self._table.record(incarnation, seconds, self._clock(), spread)
             times = {"seconds": seconds, "spread": round(spread, 3)}
             _LOG.info("target requested back-off", extra={**fields, **times})
-        if signs.is_draining and self._table.record_draining(incarnation):
+        if signals.is_draining and self._table.record_draining(incarnation):
             _LOG.info("target is draining", extra=fields)
             self._on_draining()
-        self._limits.process_signals(incarnation, signs, may_end=is_work and not signs.has_not_run)
+        self._limits.process_signals(
+            incarnation, signals, may_end=is_work and not signals.has_not_run
+        )
 
     def is_draining(self, record: TargetRecord) -> bool:
         """Return whether a target announced to this box that it shuts down."""
--- a/packages/damsonlaned/src/damsonlaned/gateway/_target_selector.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_target_selector.py
@@ -248,15 +248,17 @@
                 chosen.target, health, self._now(), report=load, pace=pace, start=chosen.start
             )
 
-    def record_signals(self, chosen: ChosenTarget, signs: ResponseSignals, *, is_own: bool) -> None:
+    def record_signals(
+        self, chosen: ChosenTarget, signals: ResponseSignals, *, is_own: bool
+    ) -> None:
         """Record the signals of a target in the head of a response.
 
         Args:
             chosen: the target.
-            signs: the signals.
+            signals: the signals.
             is_own: whether it is the response to the request that was just sent there.
         """
-        self._view.announcements.record(chosen.incarnation, signs, is_work=is_own)
+        self._view.announcements.record(chosen.incarnation, signals, is_work=is_own)
 
     def record_misdirected(self, chosen: ChosenTarget) -> None:
         """Record that another target responds at the address of this one."""
--- a/packages/damsonlaned/src/damsonlaned/gateway/_view.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_view.py
@@ -108,7 +108,11 @@
     def list_backing_off(self, service: str) -> set[str]:
         """Return the targets of a service that requested back-off from this box."""
         backing_off = self.announcements.list_backing_off()
-        records = (self._targets[named.target] for named in backing_off if self.is_listed(named))
+        records = (
+            self._targets[incarnation.target]
+            for incarnation in backing_off
+            if self.is_listed(incarnation)
+        )
         return {record.target for record in records if record.service == service}
 
     def find_backoff_seconds(self, service: str) -> float:
@@ -125,24 +129,25 @@
         ]
         return min(waits, default=0.0)
 
-    def _find_service(self, named: TargetIncarnation) -> str:
+    def _find_service(self, incarnation: TargetIncarnation) -> str:
         """Return the service of an incarnation that control lists, or an empty string."""
-        return self._targets[named.target].service if self.is_listed(named) else ""
+        return self._targets[incarnation.target].service if self.is_listed(incarnation) else ""
 
     def list_rate_limited(self, service: str) -> dict[str, TargetIncarnation]:
         """Return the targets of a service that announced a rate limit, by name."""
-        starts = [word.named for word in self.limits.list_reports()]
-        listed = [named for named in starts if self.is_listed(named)]
+        incarnations = [report.named for report in self.limits.list_reports()]
+        listed = [incarnation for incarnation in incarnations if self.is_listed(incarnation)]
         return {
-            named.target: named
-            for named in listed
-            if self._targets[named.target].service == service and self.limits.is_limited(named)
+            incarnation.target: incarnation
+            for incarnation in listed
+            if self._targets[incarnation.target].service == service
+            and self.limits.is_limited(incarnation)
         }
 
-    def is_listed(self, named: TargetIncarnation) -> bool:
+    def is_listed(self, incarnation: TargetIncarnation) -> bool:
         """Return whether control lists this incarnation of a target."""
-        record = self._targets.get(named.target)
-        return record is not None and TargetIncarnation.of(record) == named
+        record = self._targets.get(incarnation.target)
+        return record is not None and TargetIncarnation.of(record) == incarnation
 
     def find_warmup_limit(self, service: str) -> WarmupLimit | None:
         """Return the load limit of a service's targets during warm-up; None if there is none."""
@@ -213,7 +218,7 @@
             listener()
 
     def _record_warm_up(self, records: Sequence[TargetRecord]) -> None:
-        """Record until when targets warm up; reports that arrive late make that too long."""
+        """Record until when targets warm up; that time is too late if a report arrives late."""
         now = self._clock()
         for record in records:
             self._warm_up_until.pop(record.target, None)
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/harness.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/harness.py
@@ -128,10 +128,10 @@
     async def stop(self) -> None:
         await self._listener.stop()
 
-    async def _serve(self, request: HttpRequest, reply: ResponseWriter) -> None:
+    async def _serve(self, request: HttpRequest, writer: ResponseWriter) -> None:
         self.requests.append(request)
         try:
-            await self._answer(request, reply)
+            await self._answer(request, writer)
         except asyncio.CancelledError:
             self.gone.set()
             raise
@@ -141,33 +141,33 @@
     return (request.find(b"damsonlane-request-id") or "").encode()
 
 
-async def answer_ok(request: HttpRequest, reply: ResponseWriter) -> None:
+async def answer_ok(request: HttpRequest, writer: ResponseWriter) -> None:
     headers = (
         (b"Damsonlane-Request-Id", read_id(request)),
         (b"Signature", b"of the target"),
         (b"Damsonlane-Load", b"1,0,4"),
     )
-    reply.send_response(HttpResponse(status=200, headers=headers, body=b"done"))
+    writer.send_response(HttpResponse(status=200, headers=headers, body=b"done"))
 
 
 def answer_with(status: int, *, has_run: bool) -> AnswerHandler:
-    async def answer(request: HttpRequest, reply: ResponseWriter) -> None:
+    async def answer(request: HttpRequest, writer: ResponseWriter) -> None:
         not_run_header = () if has_run else ((b"Damsonlane-Run-No", b"1"),)
         headers = (
             (b"Damsonlane-Request-Id", read_id(request)),
             (b"Signature", b"s"),
             *not_run_header,
         )
-        reply.send_response(HttpResponse(status=status, headers=headers, body=b"no"))
+        writer.send_response(HttpResponse(status=status, headers=headers, body=b"no"))
 
     return answer
 
 
-async def close_without_answer(request: HttpRequest, reply: ResponseWriter) -> None:
-    reply.abort()
+async def close_without_answer(request: HttpRequest, writer: ResponseWriter) -> None:
+    writer.abort()
 
 
-async def hang(request: HttpRequest, reply: ResponseWriter) -> None:
+async def hang(request: HttpRequest, writer: ResponseWriter) -> None:
     await asyncio.sleep(TEST_TIMEOUT_SECONDS)
 
 
@@ -180,22 +180,22 @@
         is_cut: whether the stream breaks off inside another event after the last one.
     """
 
-    async def answer(request: HttpRequest, reply: ResponseWriter) -> None:
+    async def answer(request: HttpRequest, writer: ResponseWriter) -> None:
         headers = (
             (b"Damsonlane-Request-Id", read_id(request)),
             (b"Content-Type", b"text/event-stream"),
             (b"Signature", str(first).encode()),
         )
-        reply.start(HttpHead(status=200, headers=headers))
+        writer.start(HttpHead(status=200, headers=headers))
         first_number = int(request.find(b"last-event-id") or first - 1) + 1
         for number in range(first_number, last + 1):
-            await reply.send(f"id: {number}\ndata: token {number}\n\n".encode())
+            await writer.send(f"id: {number}\ndata: token {number}\n\n".encode())
         if is_cut:
-            await reply.send(b"id: 99\nda")
+            await writer.send(b"id: 99\nda")
             await asyncio.sleep(0.05)
-            reply.abort()
+            writer.abort()
         else:
-            reply.finish()
+            writer.finish()
 
     return answer
 
@@ -203,17 +203,19 @@
 def make_piece_handler(address: Callable[[], str], *, seconds: float = 0.0) -> AnswerHandler:
     """Return the handler of a pool target at an address that computes every piece."""
 
-    async def answer(request: HttpRequest, reply: ResponseWriter) -> None:
+    async def answer(request: HttpRequest, writer: ResponseWriter) -> None:
         body = json.loads(request.body)
         if request.path.endswith("/free"):
-            reply.send_response(HttpResponse(status=200))
+            writer.send_response(HttpResponse(status=200))
             return
         await asyncio.sleep(seconds)
         results = [
             {"handle": f"{address()}/{piece['request']}-{piece['stage']}-{piece['piece']}"}
             for piece in body["pieces"]
         ]
-        reply.send_response(HttpResponse(status=200, body=json.dumps({"pieces": results}).encode()))
+        writer.send_response(
+            HttpResponse(status=200, body=json.dumps({"pieces": results}).encode())
+        )
 
     return answer
 
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_backoff.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_backoff.py
@@ -1,4 +1,4 @@
-"""A target that requests back-off or drains gets no more requests from the box that it told.
+"""A target that requests back-off or drains gets no more requests from the box it notified.
 
 Guards against a path to a target that ignores what the target announced: whichever response
 says it (to a request, a placed prompt, a pool call, a call that releases results, a resumed
@@ -94,9 +94,9 @@
         #: Requests after the first response that announced it.
         self.later_requests = 0
 
-    async def _answer_and_count(self, request: HttpRequest, reply: ResponseWriter) -> None:
+    async def _answer_and_count(self, request: HttpRequest, writer: ResponseWriter) -> None:
         self.later_requests += self._has_announced
-        await self._handler(request, reply)
+        await self._handler(request, writer)
         self._has_announced |= request.path.endswith(self._announces_at)
 
 
@@ -115,9 +115,9 @@
 def reject_with(headers: HeaderList) -> AnswerHandler:
     """Return a handler that rejects every request with some headers."""
 
-    async def answer(request: HttpRequest, reply: ResponseWriter) -> None:
+    async def answer(request: HttpRequest, writer: ResponseWriter) -> None:
         request_id = (b"Damsonlane-Request-Id", read_id(request))
-        reply.send_response(HttpResponse(status=503, headers=(request_id, *headers)))
+        writer.send_response(HttpResponse(status=503, headers=(request_id, *headers)))
 
     return answer
 
@@ -125,9 +125,9 @@
 def answer_ok_with(headers: HeaderList) -> AnswerHandler:
     """Return a handler that serves every request with some headers."""
 
-    async def answer(request: HttpRequest, reply: ResponseWriter) -> None:
+    async def answer(request: HttpRequest, writer: ResponseWriter) -> None:
         request_id = (b"Damsonlane-Request-Id", read_id(request))
-        reply.send_response(HttpResponse(status=200, headers=(request_id, *headers), body=b"done"))
+        writer.send_response(HttpResponse(status=200, headers=(request_id, *headers), body=b"done"))
 
     return answer
 
@@ -135,13 +135,13 @@
 def stream_with(headers: HeaderList) -> AnswerHandler:
     """Return a handler that sends a complete stream with some headers."""
 
-    async def answer(request: HttpRequest, reply: ResponseWriter) -> None:
+    async def answer(request: HttpRequest, writer: ResponseWriter) -> None:
         content_type = (b"Content-Type", b"text/event-stream")
         request_id = (b"Damsonlane-Request-Id", read_id(request))
-        reply.start(HttpHead(status=200, headers=(request_id, content_type, *headers)))
+        writer.start(HttpHead(status=200, headers=(request_id, content_type, *headers)))
         for number in range(1, 4):
-            await reply.send(f"id: {number}\ndata: token {number}\n\n".encode())
-        reply.finish()
+            await writer.send(f"id: {number}\ndata: token {number}\n\n".encode())
+        writer.finish()
 
     return answer
 
@@ -150,11 +150,11 @@
     """Return the handler of a pool target that computes pieces and rejects release calls."""
     answer_pieces = make_piece_handler(lambda: target[0].address)
 
-    async def answer(request: HttpRequest, reply: ResponseWriter) -> None:
+    async def answer(request: HttpRequest, writer: ResponseWriter) -> None:
         if request.path.endswith("/free"):
-            await reject_with(headers)(request, reply)
+            await reject_with(headers)(request, writer)
         else:
-            await answer_pieces(request, reply)
+            await answer_pieces(request, writer)
 
     return answer
 
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_backoff_ends.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_backoff_ends.py
@@ -43,27 +43,27 @@
     """Return a handler that uses some handlers in turn; the last one is repeated."""
     remaining = list(answers)
 
-    async def answer(request: HttpRequest, reply: ResponseWriter) -> None:
-        await (remaining.pop(0) if len(remaining) > 1 else remaining[0])(request, reply)
+    async def answer(request: HttpRequest, writer: ResponseWriter) -> None:
+        await (remaining.pop(0) if len(remaining) > 1 else remaining[0])(request, writer)
 
     return answer
 
 
-async def answer_another_request_first(request: HttpRequest, reply: ResponseWriter) -> None:
+async def answer_another_request_first(request: HttpRequest, writer: ResponseWriter) -> None:
     """Send a rejection of an earlier request before the response to this one."""
     late = b"HTTP/1.1 503 Busy\r\nDamsonlane-Request-Id: old\r\nRetry-After: 600\r\n"
     own = b"HTTP/1.1 200 OK\r\nDamsonlane-Request-Id: " + read_id(request) + b"\r\n"
-    reply._stream.write(late + b"Content-Length: 0\r\n\r\n" + own + b"Content-Length: 2\r\n\r\nok")
+    writer._stream.write(late + b"Content-Length: 0\r\n\r\n" + own + b"Content-Length: 2\r\n\r\nok")
 
 
 def make_backoff_signals(
     record: TargetRecord, seconds: float
 ) -> tuple[TargetIncarnation, ResponseSignals]:
     """Return the incarnation of a target, and signals by which it requests back-off."""
-    signs = ResponseSignals(
+    signals = ResponseSignals(
         request_id=None, has_not_run=False, load=None, is_stream=False, backoff_seconds=seconds
     )
-    return TargetIncarnation.of(record), signs
+    return TargetIncarnation.of(record), signals
 
 
 class BackoffEndsTest(unittest.IsolatedAsyncioTestCase):
@@ -155,8 +155,8 @@
         target = FakeTarget("t1", in_turn(reject_with(SHORT_BACKOFF_HEADERS), answer_ok))
         entry, _ = await start_entry(self, pool_target, target)
         self.assertEqual(await self.call(entry, "/pieces/a", ONE_PIECE), 200)
-        made = [request for request in pool_target.requests if not request.path.endswith("/free")]
-        self.assertEqual(len(made), 1)
+        calls = [request for request in pool_target.requests if not request.path.endswith("/free")]
+        self.assertEqual(len(calls), 1)
 
     async def test_a_request_whose_target_backs_off_too_long_is_refused_with_retry_after(
         self,
@@ -181,17 +181,17 @@
         pool_targets: list[FakeTarget] = []
         answer_piece = make_piece_handler(lambda: pool_targets[0].address)
 
-        async def answer(request: HttpRequest, reply: ResponseWriter) -> None:
+        async def answer(request: HttpRequest, writer: ResponseWriter) -> None:
             if not request.path.endswith("/free"):
-                entry.view.announcements.record(incarnation, signs)
-                await answer_piece(request, reply)
+                entry.view.announcements.record(incarnation, signals)
+                await answer_piece(request, writer)
                 return
             released.extend(json.loads(request.body).get("handles", ["?"]))
-            reply.send_response(HttpResponse(status=200))
+            writer.send_response(HttpResponse(status=200))
 
         pool_targets.append(FakeTarget("p1", answer, "pool"))
         entry, records = await start_entry(self, pool_targets[0], FakeTarget("t1", answer_ok))
-        incarnation, signs = make_backoff_signals(records[0], 0.5)
+        incarnation, signals = make_backoff_signals(records[0], 0.5)
         self.assertEqual(await self.call(entry, "/pieces/a", ONE_PIECE), 200)
         self.assertEqual(released, [])
         await self.wait_for_item(released)
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_closed_targets.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_closed_targets.py
@@ -23,13 +23,13 @@
 )
 
 OWN_ADDRESS = "10.9.0.1:7000"
-TRAITS = EngineProperties(slots=8, cache_tokens=100_000)
+PROPERTIES = EngineProperties(slots=8, cache_tokens=100_000)
 ENGINE = Service(
     name="model",
     most_connections=500,
     cold_rate=6.7,
     cold_start_seconds=3.0,
-    engine=TRAITS,
+    engine=PROPERTIES,
 )
 RECORD = TargetRecord(
     target="e0",
@@ -108,7 +108,7 @@
 
     async def test_neither_owner_nor_entry_chooses_evacuated_engines(self) -> None:
         evacuate(self.view, 1, "gulberg")
-        placer = PromptPlacer("model", TRAITS, self.view)
+        placer = PromptPlacer("model", PROPERTIES, self.view)
         targets = TargetSelector(self.view, "gulberg", lambda: 1)
         for number in range(40):
             (placement,) = placer.place("s", (order_prompt(number, f"p{number}"),))
@@ -184,7 +184,7 @@
         put(self.view, 1, *self.warming_up, *self.other_engines)
 
     async def test_an_owner_keeps_engines_within_their_warm_up_limit(self) -> None:
-        placer = PromptPlacer("model", TRAITS, self.view)
+        placer = PromptPlacer("model", PROPERTIES, self.view)
         counts: dict[str, int] = {}
         for number in range(300):
             (placement,) = placer.place("s", (order_prompt(number, f"p{number}"),))
@@ -250,12 +250,12 @@
         view = make_view(Clock())
         others = make_engines(3)
         put(view, 1, *(replace(record, start=100) for record in others))
-        placer = PromptPlacer("model", TRAITS, view)
+        placer = PromptPlacer("model", PROPERTIES, view)
         (first,) = placer.place("s", (order_prompt(1),))
-        cached = placer._book._engines[first.target].cache
+        cached = placer._engine_table._engines[first.target].cache
         self.assertGreater(cached.count_cached(order_prompt(2).shared), 0)
         put(view, 2, *(replace(record, start=200) for record in others))
-        cached = placer._book._engines[first.target].cache
+        cached = placer._engine_table._engines[first.target].cache
         self.assertEqual(cached.count_cached(order_prompt(3).shared), 0)
 
 
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_ended_targets.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_ended_targets.py
@@ -96,10 +96,10 @@
 
     async def test_the_exit_after_draining_in_a_response_counts_against_no_request(self) -> None:
         """The target may have exited before control learns that it is draining."""
-        signs = ResponseSignals(
+        signals = ResponseSignals(
             request_id=None, has_not_run=False, load=None, is_stream=False, is_draining=True
         )
-        self.entry.view.announcements.record(TargetIncarnation.of(self.record), signs)
+        self.entry.view.announcements.record(TargetIncarnation.of(self.record), signals)
         await self.target.stop()
         self.assertFalse(await self.detector.report_broken(self.lost, (RUN,)))
         self.assertEqual(self.entry.exits, [])
@@ -109,9 +109,9 @@
     async def test_the_log_names_the_requests_under_which_a_target_exited(self) -> None:
         targets: list[FakeTarget] = []
 
-        async def exit_under_request(request: HttpRequest, reply: ResponseWriter) -> None:
+        async def exit_under_request(request: HttpRequest, writer: ResponseWriter) -> None:
             asyncio.get_running_loop().create_task(targets[0].stop())
-            await hang(request, reply)
+            await hang(request, writer)
 
         entry = Entry()
         targets.append(FakeTarget("desk-1", exit_under_request))
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_gateway.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_gateway.py
@@ -143,9 +143,9 @@
 def answer_in_turn(answers: list[AnswerHandler]) -> AnswerHandler:
     """Return a handler that uses some handlers in turn; the last one is repeated."""
 
-    async def answer(request: HttpRequest, reply: ResponseWriter) -> None:
+    async def answer(request: HttpRequest, writer: ResponseWriter) -> None:
         chosen = answers.pop(0) if len(answers) > 1 else answers[0]
-        await chosen(request, reply)
+        await chosen(request, writer)
 
     return answer
 
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_pool_targets.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_pool_targets.py
@@ -17,7 +17,7 @@
     standing="live",
     sequence=1,
 )
-_TRAITS = PoolProperties(
+_PROPERTIES = PoolProperties(
     slots=1,
     queue=2,
     batch=4,
@@ -53,13 +53,13 @@
         ]
         for name, events, expected in cases:
             with self.subTest(name):
-                target = PoolTarget(_RECORD, _TRAITS)
+                target = PoolTarget(_RECORD, _PROPERTIES)
                 for event in events:
                     event(target)
                 self.assertEqual(target.reads_at_once(0.1), expected)
 
     def test_target_recently_out_of_result_memory_is_not_expected_to_read_at_once(self) -> None:
-        target = PoolTarget(_RECORD, _TRAITS)
+        target = PoolTarget(_RECORD, _PROPERTIES)
         target.record_duration_ratio(1.0, 0.0)
         target.result_memory.record_rejection(10, 10, 0.0)
         self.assertFalse(target.reads_at_once(0.1))
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_quarantine.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_quarantine.py
@@ -72,15 +72,15 @@
     async def add(self, service: str) -> None:
         name = f"{service}-{len(self.targets)}"
 
-        async def answer(request: HttpRequest, reply: ResponseWriter) -> None:
+        async def answer(request: HttpRequest, writer: ResponseWriter) -> None:
             if not self.is_deadly(request):
-                await self._default_answer(request, reply)
+                await self._default_answer(request, writer)
                 return
             if self.events:
-                with mock.patch.object(reply, "finish"):
-                    await stream_events(1, self.events)(request, reply)
+                with mock.patch.object(writer, "finish"):
+                    await stream_events(1, self.events)(request, writer)
             self._exit(name)
-            await hang(request, reply)
+            await hang(request, writer)
 
         self.targets[name] = FakeTarget(name, answer, service)
         self.records[name] = await self.targets[name].start()
@@ -206,8 +206,8 @@
         self.assertEqual(self.fleet.control.state.quarantine.snapshot().ends, ())
 
     async def test_broken_connections_alone_count_against_no_request(self) -> None:
-        async def cut(request: HttpRequest, reply: ResponseWriter) -> None:
-            reply.abort()
+        async def cut(request: HttpRequest, writer: ResponseWriter) -> None:
+            writer.abort()
 
         self.fleet._default_answer = cut
         for number in range(8):
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_rate_limit_ends.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_rate_limit_ends.py
@@ -49,8 +49,8 @@
     """Return an answer that gives some in turn; the last one repeats."""
     left = list(answers)
 
-    async def answer(request: HttpRequest, reply: ResponseWriter) -> None:
-        await (left.pop(0) if len(left) > 1 else left[0])(request, reply)
+    async def answer(request: HttpRequest, writer: ResponseWriter) -> None:
+        await (left.pop(0) if len(left) > 1 else left[0])(request, writer)
 
     return answer
 
@@ -102,11 +102,11 @@
         created: list[FakeTarget] = []
         make = make_piece_handler(lambda: created[0].address)
 
-        async def answer(request: HttpRequest, reply: ResponseWriter) -> None:
+        async def answer(request: HttpRequest, writer: ResponseWriter) -> None:
             if request.path.endswith("/free"):
-                reply.send_response(HttpResponse(status=200, headers=(make_header("3"),)))
+                writer.send_response(HttpResponse(status=200, headers=(make_header("3"),)))
             else:
-                await make(request, reply)
+                await make(request, writer)
 
         created.append(FakeTarget("p1", answer, "pool"))
         entry, records = await start_entry(self, created[0], FakeTarget("t1", answer_ok))
@@ -268,7 +268,7 @@
         created: list[FakeTarget] = []
         make = make_piece_handler(lambda: created[0].address)
 
-        async def answer(request: HttpRequest, reply: ResponseWriter) -> None:
+        async def answer(request: HttpRequest, writer: ResponseWriter) -> None:
             if headers and not request.path.endswith("/free"):
                 pieces = json.loads(request.body)["pieces"]
                 handles = [
@@ -276,9 +276,9 @@
                     for piece in pieces
                 ]
                 body = json.dumps({"pieces": handles}).encode()
-                reply.send_response(HttpResponse(status=200, headers=headers, body=body))
+                writer.send_response(HttpResponse(status=200, headers=headers, body=body))
             else:
-                await make(request, reply)
+                await make(request, writer)
 
         created.append(FakeTarget("p1", answer, "pool"))
         return created[0]
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_rate_limits.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_rate_limits.py
@@ -49,9 +49,9 @@
         self._inner_answer = answer
         self.times: list[float] = []
 
-    async def _record_and_answer(self, request: HttpRequest, reply: ResponseWriter) -> None:
+    async def _record_and_answer(self, request: HttpRequest, writer: ResponseWriter) -> None:
         self.times.append(asyncio.get_running_loop().time())
-        await self._inner_answer(request, _ReplyWithLimit(reply))  # type: ignore[arg-type]
+        await self._inner_answer(request, _WriterWithLimit(writer))  # type: ignore[arg-type]
 
     def count_most(self) -> int:
         """Return the most requests that arrived within any window."""
@@ -61,26 +61,28 @@
         )
 
 
-class _ReplyWithLimit:
-    """A reply that adds the rate limit header to each head."""
+class _WriterWithLimit:
+    """A response writer that adds the rate limit header to each head."""
 
-    def __init__(self, reply: ResponseWriter) -> None:
-        self._reply = reply
+    def __init__(self, writer: ResponseWriter) -> None:
+        self._writer = writer
 
     def send_response(self, response: HttpResponse) -> None:
-        self._reply.send_response(replace(response, headers=(*response.headers, RATE_LIMIT_HEADER)))
+        self._writer.send_response(
+            replace(response, headers=(*response.headers, RATE_LIMIT_HEADER))
+        )
 
     def start(self, head: HttpHead) -> None:
-        self._reply.start(replace(head, headers=(*head.headers, RATE_LIMIT_HEADER)))
+        self._writer.start(replace(head, headers=(*head.headers, RATE_LIMIT_HEADER)))
 
     async def send(self, data: bytes) -> None:
-        await self._reply.send(data)
+        await self._writer.send(data)
 
     def finish(self) -> None:
-        self._reply.finish()
+        self._writer.finish()
 
     def abort(self) -> None:
-        self._reply.abort()
+        self._writer.abort()
 
 
 class Case:
@@ -98,8 +100,8 @@
     return HttpResponse(status=503, headers=headers)
 
 
-async def reject(request: HttpRequest, reply: ResponseWriter) -> None:
-    reply.send_response(make_rejection(read_id(request)))
+async def reject(request: HttpRequest, writer: ResponseWriter) -> None:
+    writer.send_response(make_rejection(read_id(request)))
 
 
 def make_limited_pool_target(name: str) -> Limited:
--- a/packages/damsonlaned/src/damsonlaned/gateway/tests/test_stages.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/tests/test_stages.py
@@ -53,10 +53,10 @@
     freed: tuple[str, ...] = ()
 
 
-async def lose_inputs(request: HttpRequest, reply: ResponseWriter) -> None:
+async def lose_inputs(request: HttpRequest, writer: ResponseWriter) -> None:
     """Answer that the inputs of every piece are lost."""
     pieces = [{"fault": "lost-input"} for _ in json.loads(request.body)["pieces"]]
-    reply.send_response(HttpResponse(status=200, body=json.dumps({"pieces": pieces}).encode()))
+    writer.send_response(HttpResponse(status=200, body=json.dumps({"pieces": pieces}).encode()))
 
 
 class Pool:
@@ -81,27 +81,27 @@
         """Return the stages of the calls that compute pieces."""
         return [call.stage for call in self.calls if call.stage is not None]
 
-    async def make_once_freed(self, request: HttpRequest, reply: ResponseWriter) -> None:
+    async def make_once_freed(self, request: HttpRequest, writer: ResponseWriter) -> None:
         """Compute the pieces once results were freed."""
         await self.freed.wait()
-        await self.make(request, reply)
+        await self.make(request, writer)
 
-    async def cut_once_freed(self, request: HttpRequest, reply: ResponseWriter) -> None:
+    async def cut_once_freed(self, request: HttpRequest, writer: ResponseWriter) -> None:
         """Abort the answer once results were freed."""
         await self.freed.wait()
-        await close_without_answer(request, reply)
+        await close_without_answer(request, writer)
 
-    async def _answer(self, request: HttpRequest, reply: ResponseWriter) -> None:
+    async def _answer(self, request: HttpRequest, writer: ResponseWriter) -> None:
         body = json.loads(request.body)
         if request.path.endswith("/free"):
             self.calls.append(ReceivedCall(stage=None, freed=tuple(body["handles"])))
             self.freed.set()
-            await self.make(request, reply)
+            await self.make(request, writer)
             return
         stage = body["pieces"][0]["stage"]
         self.calls.append(ReceivedCall(stage=stage))
         answer = self.make if stage == 0 else self._next_answer()
-        await answer(request, reply)
+        await answer(request, writer)
 
     def _next_answer(self) -> AnswerHandler:
         """Return the answer to the next call of the second stage."""
@@ -160,9 +160,9 @@
         pool = Pool()
         pool.answer_second_stage(pool.make)
 
-        async def answer_once_freed(request: HttpRequest, reply: ResponseWriter) -> None:
+        async def answer_once_freed(request: HttpRequest, writer: ResponseWriter) -> None:
             await self.wait_for(lambda: pool.has_freed("r1-1-0"))
-            await answer_ok(request, reply)
+            await answer_ok(request, writer)
 
         self.desk = FakeTarget("t1", answer_once_freed)
         self.assertEqual(await self.call(pool), 200)
@@ -172,10 +172,10 @@
         pool = Pool()
         pool.answer_second_stage(pool.make)
 
-        async def cut_once_freed(request: HttpRequest, reply: ResponseWriter) -> None:
+        async def cut_once_freed(request: HttpRequest, writer: ResponseWriter) -> None:
             await self.wait_for(lambda: pool.has_freed("r1-1-0"))
             await (close_without_answer if len(self.desk.requests) == 1 else answer_ok)(
-                request, reply
+                request, writer
             )
 
         self.desk = FakeTarget("t1", cut_once_freed)
@@ -187,9 +187,9 @@
         pool = Pool()
         pool.answer_second_stage(pool.make)
 
-        async def cut_first(request: HttpRequest, reply: ResponseWriter) -> None:
+        async def cut_first(request: HttpRequest, writer: ResponseWriter) -> None:
             await (close_without_answer if len(self.desk.requests) == 1 else answer_ok)(
-                request, reply
+                request, writer
             )
 
         self.desk = FakeTarget("t1", cut_first)
