--- a/packages/damsonlaned/src/damsonlaned/entry/_dispatcher.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_dispatcher.py
@@ -125,9 +125,9 @@
         )
         reply: TargetReply | None = None
         try:
-            on_notice = partial(self._record_notice, send.stage.service, choice)
+            on_announcement = partial(self._record_announcement, send.stage.service, choice)
             reply = yield from TARGET_PROTOCOLS[service.kind].call(
-                self._connections, call, on_notice
+                self._connections, call, on_announcement
             )
         finally:
             # A caller that disconnects closes the generator; the target did not fail then.
@@ -225,22 +225,22 @@
             return backoff_seconds
         return max(backoff_seconds, self._limits.find_wait_seconds(rate_limited.values()))
 
-    def _record_notice(
-        self, service: str, choice: TargetChoice, notice: TargetAnnouncement
+    def _record_announcement(
+        self, service: str, choice: TargetChoice, announcement: TargetAnnouncement
     ) -> None:
         """Record what the head of a response announces of its target."""
-        if notice.is_draining:
+        if announcement.is_draining:
             self._draining.record(service, choice.target)
-        if notice.backoff_seconds > 0:
-            seconds = notice.backoff_seconds
+        if announcement.backoff_seconds > 0:
+            seconds = announcement.backoff_seconds
             boxes = self._count_entries()
             self._backoff.record(service, choice.target, choice.address, seconds, boxes)
         self._limits.record(
             service,
             choice.target,
             choice.address,
-            notice.rate_limit,
-            may_end=notice.was_accepted,
+            announcement.rate_limit,
+            may_end=announcement.was_accepted,
         )
 
     def _apply_settings(self, settings: SettingsInForce) -> None:
--- a/packages/damsonlaned/src/damsonlaned/entry/tests/test_dispatcher.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/tests/test_dispatcher.py
@@ -76,7 +76,7 @@
         self,
         connections: Connections,
         call: TargetCall,
-        on_notice: Callable[[TargetAnnouncement], None] = lambda _: None,
+        on_announcement: Callable[[TargetAnnouncement], None] = lambda _: None,
     ) -> Generator[str, None, TargetReply]:
         yield from ()
         if call.address.endswith(":1"):
--- a/packages/damsonlaned/src/damsonlaned/targets/_calls.py
+++ b/packages/damsonlaned/src/damsonlaned/targets/_calls.py
@@ -59,14 +59,14 @@
         self,
         connections: Connections,
         call: TargetCall,
-        on_notice: Callable[[TargetAnnouncement], None] = lambda _: None,
+        on_announcement: Callable[[TargetAnnouncement], None] = lambda _: None,
     ) -> Generator[str, None, TargetReply]:
         """Send an attempt, yield its output as it arrives, and return the outcome.
 
         Args:
             connections: connections to targets.
             call: the attempt.
-            on_notice: called with the announcements in the response headers, before the body
+            on_announcement: called with the announcements in the response headers, before the body
                 is read.
 
         Yields:
@@ -83,7 +83,7 @@
             return _make_failure("unsent", error)
         except SENT_ERRORS as error:
             return _make_failure("failed", error)
-        on_notice(read_notice(response))
+        on_announcement(read_notice(response))
         try:
             return (yield from self._read_response(response, call))
         except (*SENT_ERRORS, ValueError, KeyError, TypeError) as error:
@@ -114,14 +114,14 @@
             response.release_conn()
             is_broken = result.outcome == "failed" and result.answers is None
             return TargetReply(result=result, load_report=report, is_interrupted=is_broken)
-        is_leaving = read_notice(response).is_draining
+        is_draining = read_notice(response).is_draining
         response.drain_conn()
         response.release_conn()
         is_rejected = response.status in REJECTING_STATUSES
         result = AttemptResult(
             answers=None,
             outcome="refused" if is_rejected else "failed",
-            is_leaving=is_leaving,
+            is_leaving=is_draining,
             fault=f"the target answered with status {response.status}",
         )
         return TargetReply(result=result, load_report=report)
@@ -138,9 +138,9 @@
         name: the kind of service.
     """
 
-    def register(kind: type[TargetProtocol]) -> type[TargetProtocol]:
-        TARGET_PROTOCOLS[name] = kind()
-        return kind
+    def register(protocol: type[TargetProtocol]) -> type[TargetProtocol]:
+        TARGET_PROTOCOLS[name] = protocol()
+        return protocol
 
     return register
 
--- a/packages/damsonlaned/src/damsonlaned/targets/_connections.py
+++ b/packages/damsonlaned/src/damsonlaned/targets/_connections.py
@@ -65,7 +65,7 @@
         self._lock = threading.Lock()
 
     def post(
-        self, address: str, path: str, body: Mapping[str, object], due_at: float
+        self, address: str, path: str, body: Mapping[str, object], deadline_at: float
     ) -> urllib3.BaseHTTPResponse:
         """Send a request once and return the response with its body unread.
 
@@ -75,12 +75,12 @@
             address: address of the target.
             path: path of the request.
             body: JSON body of the request.
-            due_at: deadline of the attempt, by the monotonic clock, in seconds.
+            deadline_at: deadline of the attempt, by the monotonic clock, in seconds.
 
         Raises:
             LateError: the deadline passed before the request was sent.
         """
-        seconds = due_at - read_clock()
+        seconds = deadline_at - read_clock()
         if seconds <= 0:
             raise LateError("the deadline passed before the request was sent")
         timeout = urllib3.Timeout(connect=min(CONNECT_TIMEOUT_SECONDS, seconds), read=seconds)
@@ -114,14 +114,14 @@
             return pool
 
 
-def read_chunks(response: urllib3.BaseHTTPResponse, due_at: float) -> Iterator[bytes]:
+def read_chunks(response: urllib3.BaseHTTPResponse, deadline_at: float) -> Iterator[bytes]:
     """Yield the body of a response as it arrives.
 
     Raises:
         LateError: the deadline passed before the end of the body.
     """
     while True:
-        remaining = due_at - read_clock()
+        remaining = deadline_at - read_clock()
         if remaining <= 0:
             raise LateError("the deadline passed while the answer arrived")
         socket = getattr(response.connection, "sock", None)
@@ -139,10 +139,10 @@
     seconds = 0.0
     if response.status == OVERLOADED_STATUS:
         seconds = read_retry_after(headers.get("Retry-After"), headers.get("Date"))
-    is_leaving = headers.get(LEAVING_HEADER, "").strip() not in ("", "0")
+    is_draining = headers.get(LEAVING_HEADER, "").strip() not in ("", "0")
     return TargetAnnouncement(
         backoff_seconds=seconds,
-        is_draining=is_leaving,
+        is_draining=is_draining,
         rate_limit=read_rate_limit(headers.getlist(RATE_LIMIT_HEADER)),
         was_accepted=response.status not in REJECTING_STATUSES,
     )
--- a/packages/damsonlaned/src/damsonlaned/targets/_engines.py
+++ b/packages/damsonlaned/src/damsonlaned/targets/_engines.py
@@ -71,8 +71,8 @@
         )
 
 
-def _read_events(response: urllib3.BaseHTTPResponse, due_at: float) -> Iterator[str]:
-    for event in sseclient.SSEClient(read_chunks(response, due_at)).events():
+def _read_events(response: urllib3.BaseHTTPResponse, deadline_at: float) -> Iterator[str]:
+    for event in sseclient.SSEClient(read_chunks(response, deadline_at)).events():
         yield event.data
 
 
