--- a/packages/damsonlaned/src/damsonlaned/_process.py
+++ b/packages/damsonlaned/src/damsonlaned/_process.py
@@ -65,25 +65,25 @@
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     configure_logs(settings.name, settings.role)
     _LOG.info("starting", extra={"pid": os.getpid()})
-    keys = TlsContexts(settings)
+    tls_contexts = TlsContexts(settings)
     try:
         # Each role imports only what it uses, which saves memory and start-up time on small boxes.
         if settings.role == "control":
             from damsonlaned.control._process import run_control
 
             with DataFolder(settings.data_folder) as folder:
-                await run_control(settings, folder, keys, reload)
+                await run_control(settings, folder, tls_contexts, reload)
         elif settings.gateway is not None:
             from damsonlaned.gateway._process import run_gateway
 
-            await run_gateway(settings, settings.gateway, keys, reload)
+            await run_gateway(settings, settings.gateway, tls_contexts, reload)
         else:
             from damsonlaned.entry._process import run_entry
 
             with DataFolder(settings.data_folder):
-                await run_entry(settings, keys)
+                await run_entry(settings, tls_contexts)
     finally:
-        await keys.stop()
+        await tls_contexts.stop()
 
 
 class TlsContexts:
@@ -105,7 +105,9 @@
             await self._reloader.stop()
 
 
-async def start_rpc_server(settings: BoxSettings, service: RpcService, keys: TlsContexts) -> Server:
+async def start_rpc_server(
+    settings: BoxSettings, service: RpcService, tls_contexts: TlsContexts
+) -> Server:
     """Start the server for calls of other boxes, and return it.
 
     Raises:
@@ -114,7 +116,7 @@
     server = Server([service], codec=DataclassCodec())
     endpoint = Endpoint.parse(settings.internal_address)
     try:
-        await server.start(endpoint.host, endpoint.port, ssl=keys.server)
+        await server.start(endpoint.host, endpoint.port, ssl=tls_contexts.server)
     except OSError as error:
         reason = error.strerror or str(error)
         raise StorageError(f"cannot listen on {settings.internal_address}: {reason}") from None
@@ -162,17 +164,17 @@
             self._on_change(newer)
 
 
-async def wait_for_stop(watch: SettingsReloader) -> None:
+async def wait_for_stop(reloader: SettingsReloader) -> None:
     """Wait for SIGTERM or SIGINT, and reload the settings on SIGHUP and at intervals."""
     stopped = asyncio.Event()
     loop = asyncio.get_running_loop()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signal_number, stopped.set)
-    loop.add_signal_handler(signal.SIGHUP, watch.reload_if_changed)
+    loop.add_signal_handler(signal.SIGHUP, reloader.reload_if_changed)
     while not stopped.is_set():
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(stopped.wait(), SETTINGS_POLL_SECONDS)
-        watch.reload_if_changed()
+        reloader.reload_if_changed()
     _LOG.info("stopping")
 
 
--- a/packages/damsonlaned/src/damsonlaned/control/_process.py
+++ b/packages/damsonlaned/src/damsonlaned/control/_process.py
@@ -38,7 +38,7 @@
 
 
 async def run_control(
-    settings: BoxSettings, folder: DataFolder, keys: TlsContexts, reload: Reload | None
+    settings: BoxSettings, folder: DataFolder, tls_contexts: TlsContexts, reload: Reload | None
 ) -> None:
     """Run the replica until the process is told to stop.
 
@@ -48,7 +48,7 @@
     Args:
         settings: settings of the box.
         folder: its data folder, open.
-        keys: its TLS contexts.
+        tls_contexts: its TLS contexts.
         reload: reads the settings again; None where they can't change.
 
     Raises:
@@ -60,12 +60,12 @@
         for replica in running:
             replica.apply_settings(newer)
 
-    watch = SettingsReloader(settings, reload, apply_settings)
+    reloader = SettingsReloader(settings, reload, apply_settings)
     # Signals are handled from here on, in whatever state the replica and its disk are.
-    stop = asyncio.create_task(wait_for_stop(watch))
+    stop = asyncio.create_task(wait_for_stop(reloader))
     try:
         while await _wait_for_disk(folder, stop):
-            replica = _RunningReplica(watch.settings, folder, keys)
+            replica = _RunningReplica(reloader.settings, folder, tls_contexts)
             running[:] = [replica]
             error = await replica.run(stop)
             if error is None:
@@ -94,24 +94,28 @@
     Args:
         settings: settings of the box.
         folder: its data folder, open.
-        keys: its TLS contexts.
+        tls_contexts: its TLS contexts.
 
     Raises:
         StorageError: the folder can't be used.
     """
 
-    def __init__(self, settings: BoxSettings, folder: DataFolder, keys: TlsContexts) -> None:
+    def __init__(
+        self, settings: BoxSettings, folder: DataFolder, tls_contexts: TlsContexts
+    ) -> None:
         self._settings: Final = settings
-        self._keys: Final = keys
+        self._tls_contexts: Final = tls_contexts
         self._metrics: Final = Metrics()
-        self._node: Final = ControlNode(settings, folder, keys.client)
+        self._node: Final = ControlNode(settings, folder, tls_contexts.client)
         self._admin: Final = AdminServer(
             settings.admin_address, self._metrics, self._node.is_current, self._update_metrics
         )
-        self._client: Final = ControlClient(_list_control_addresses(settings), context=keys.client)
+        self._client: Final = ControlClient(
+            _list_control_addresses(settings), context=tls_contexts.client
+        )
         self._membership: Final = MembershipUpdater(self._node, self._client)
         self._limits: Final = RateLimitService(self._node)
-        self._group: Final = _make_group(settings, self._node, self._client, keys)
+        self._group: Final = _make_group(settings, self._node, self._client, tls_contexts)
         self._registry: Final = _make_registry(
             settings.gateway, self._node, self._group, self._client
         )
@@ -132,7 +136,7 @@
             StorageError: the folder or an address can't be used.
         """
         server = await start_rpc_server(
-            self._settings, ControlService(self._node).service(self._handlers()), self._keys
+            self._settings, ControlService(self._node).service(self._handlers()), self._tls_contexts
         )
         await self._start()
         _LOG.info("started", extra={"replica": self._node.identity.replica})
@@ -186,10 +190,12 @@
 
 
 def _make_group(
-    settings: BoxSettings, node: ControlNode, client: ControlClient, keys: TlsContexts
+    settings: BoxSettings, node: ControlNode, client: ControlClient, tls_contexts: TlsContexts
 ) -> GroupManager | None:
     founding: Founding | None = settings.founding
-    return GroupManager(node, founding, client, keys.client) if founding is not None else None
+    return (
+        GroupManager(node, founding, client, tls_contexts.client) if founding is not None else None
+    )
 
 
 def _make_registry(
--- a/packages/damsonlaned/src/damsonlaned/control/tests/test_process.py
+++ b/packages/damsonlaned/src/damsonlaned/control/tests/test_process.py
@@ -77,17 +77,17 @@
     async def test_a_replica_restarts_with_the_settings_read_last(self) -> None:
         probe = mock.Mock(side_effect=StorageError("full"))
         newer = replace(self.settings, admin_address=find_free_address())
-        watches: list[SettingsReloader] = []
+        reloaders: list[SettingsReloader] = []
 
-        def record(watch: SettingsReloader) -> Awaitable[bool]:
-            watches.append(watch)
+        def record(reloader: SettingsReloader) -> Awaitable[bool]:
+            reloaders.append(reloader)
             return self.stop.wait()
 
         self.patch(_process, "wait_for_stop", record)
         constructor = mock.Mock(wraps=ControlNode)
         self.patch(_process, "ControlNode", constructor)
         box = await self.fail_disk(probe)
-        watches[0].settings = newer
+        reloaders[0].settings = newer
         probe.side_effect = None
         await self.wait(lambda: self.count_logged("started") == 2)
         self.assertEqual(constructor.call_args.args[0], newer)
--- a/packages/damsonlaned/src/damsonlaned/entry/_process.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_process.py
@@ -16,10 +16,10 @@
 _LOG: Final = logging.getLogger(__name__)
 
 
-async def run_entry(settings: BoxSettings, keys: TlsContexts) -> None:
+async def run_entry(settings: BoxSettings, tls_contexts: TlsContexts) -> None:
     """Run the entry until the process is asked to stop."""
-    node = EntryNode(settings, keys.client)
-    server = await start_rpc_server(settings, node.peers.service(), keys)
+    node = EntryNode(settings, tls_contexts.client)
+    server = await start_rpc_server(settings, node.peers.service(), tls_contexts)
     await node.start()
     _LOG.info("started")
     await wait_for_stop(SettingsReloader(settings, None, lambda newer: None))
