--- a/packages/damsonlaned/src/damsonlaned/admin.py
+++ b/packages/damsonlaned/src/damsonlaned/admin.py
@@ -43,17 +43,17 @@
         """Stop serving."""
         await self._listener.stop()
 
-    async def _handle(self, request: HttpRequest, reply: ResponseWriter) -> None:
+    async def _handle(self, request: HttpRequest, writer: ResponseWriter) -> None:
         if request.path == "/metrics":
             self._refresh()
             body = self._metrics.render()
-            reply.send_response(HttpResponse(status=200, headers=_TEXT, body=body))
+            writer.send_response(HttpResponse(status=200, headers=_TEXT, body=body))
         elif request.path == "/livez" or (request.path == "/readyz" and self._is_ready()):
-            reply.send_response(_render_text(200, "ok"))
+            writer.send_response(_render_text(200, "ok"))
         elif request.path == "/readyz":
-            reply.send_response(_render_text(503, "not ready"))
+            writer.send_response(_render_text(503, "not ready"))
         else:
-            reply.send_response(_render_text(404, "see /metrics, /livez and /readyz"))
+            writer.send_response(_render_text(404, "see /metrics, /livez and /readyz"))
 
 
 def _render_text(status: int, detail: str) -> HttpResponse:
--- a/packages/damsonlaned/src/damsonlaned/http/_listener.py
+++ b/packages/damsonlaned/src/damsonlaned/http/_listener.py
@@ -97,8 +97,8 @@
         if request is None:
             return False
         self.is_idle = False
-        reply = ResponseWriter(self._stream, self._parser, self._is_last)
-        self._handler_task = asyncio.ensure_future(self._listener.handler(request, reply))
+        writer = ResponseWriter(self._stream, self._parser, self._is_last)
+        self._handler_task = asyncio.ensure_future(self._listener.handler(request, writer))
         self._stream.on_closed = self._cancel_handler
         if self._stream.is_closed():
             self._cancel_handler()
@@ -107,7 +107,7 @@
         finally:
             self._stream.on_closed = None
         self._check_handler()
-        if not reply.is_complete:
+        if not writer.is_complete:
             self._stream.abort()
             return False
         self.is_idle = True
--- a/packages/damsonlaned/src/damsonlaned/http/tests/test_listener.py
+++ b/packages/damsonlaned/src/damsonlaned/http/tests/test_listener.py
@@ -25,9 +25,9 @@
     return HttpResponse(status=status, body=detail.encode())
 
 
-async def echo(request: HttpRequest, reply: ResponseWriter) -> None:
+async def echo(request: HttpRequest, writer: ResponseWriter) -> None:
     body = request.method.encode() + b" " + request.target.encode() + b" " + request.body
-    reply.send_response(HttpResponse(status=200, body=body))
+    writer.send_response(HttpResponse(status=200, body=body))
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -143,7 +143,7 @@
     async def test_a_disconnect_of_the_caller_cancels_the_handler_at_once(self) -> None:
         began, ended = asyncio.Event(), asyncio.Event()
 
-        async def wait(request: HttpRequest, reply: ResponseWriter) -> None:
+        async def wait(request: HttpRequest, writer: ResponseWriter) -> None:
             began.set()
             try:
                 await asyncio.sleep(TEST_TIMEOUT_SECONDS)
@@ -166,10 +166,10 @@
                     await ended.wait()
 
     async def test_an_aborted_response_does_not_look_complete(self) -> None:
-        async def cut(request: HttpRequest, reply: ResponseWriter) -> None:
-            reply.start(HttpHead(status=200))
-            await reply.send(b"part")
-            reply.abort()
+        async def cut(request: HttpRequest, writer: ResponseWriter) -> None:
+            writer.start(HttpHead(status=200))
+            await writer.send(b"part")
+            writer.abort()
 
         listener = await self.start(cut)
         reader, writer = await self.connect(listener)
@@ -182,7 +182,7 @@
         self.assertFalse(data.endswith(b"0\r\n\r\n"))
 
     async def test_a_failing_handler_breaks_the_connection(self) -> None:
-        async def fail(request: HttpRequest, reply: ResponseWriter) -> None:
+        async def fail(request: HttpRequest, writer: ResponseWriter) -> None:
             raise ValueError("planted")
 
         listener = await self.start(fail)
@@ -209,9 +209,9 @@
     async def test_idle_connections_are_closed_and_busy_ones_are_not(self) -> None:
         release = asyncio.Event()
 
-        async def wait(request: HttpRequest, reply: ResponseWriter) -> None:
+        async def wait(request: HttpRequest, writer: ResponseWriter) -> None:
             await release.wait()
-            await echo(request, reply)
+            await echo(request, writer)
 
         listener = await self.start(wait)
         idle, _ = await self.connect(listener)
