--- a/packages/damsonlaned/src/damsonlaned/quarantine/_known.py
+++ b/packages/damsonlaned/src/damsonlaned/quarantine/_known.py
@@ -30,8 +30,8 @@
             return
         before, self.newest = self.newest, newer
         if before.held != newer.held:
-            held = [request.fingerprint for request in newer.held]
-            fields = {"held": held, "revision": newer.revision}
+            quarantined = [request.fingerprint for request in newer.held]
+            fields = {"held": quarantined, "revision": newer.revision}
             _LOG.warning("list of quarantined requests changed", extra=fields)
         for listener in self._listeners:
             listener()
--- a/packages/damsonlaned/src/damsonlaned/quarantine/_probe.py
+++ b/packages/damsonlaned/src/damsonlaned/quarantine/_probe.py
@@ -28,9 +28,9 @@
     is_name_kept: bool = False
 
     @classmethod
-    def of(cls, named: TargetIncarnation) -> Self:
+    def of(cls, incarnation: TargetIncarnation) -> Self:
         """Return the incarnation of a registered target whose answers were interrupted."""
-        return cls(target=named.target, address=named.address, start=named.start)
+        return cls(target=incarnation.target, address=incarnation.address, start=incarnation.start)
 
 
 async def refuses_connections(address: str) -> bool:
--- a/packages/damsonlaned/src/damsonlaned/quarantine/_quarantine.py
+++ b/packages/damsonlaned/src/damsonlaned/quarantine/_quarantine.py
@@ -157,7 +157,7 @@
         while self._pending:
             reports = tuple(self._pending)
             try:
-                held = await self._submit(reports)
+                quarantined = await self._submit(reports)
             except UnavailableError as error:
                 _LOG.info(
                     "could not report exits of targets to control; retrying",
@@ -166,7 +166,7 @@
                 await asyncio.sleep(RETRY_PAUSE_SECONDS)
                 continue
             self._pending = [report for report in self._pending if report not in reports]
-            self._known.put(held)
+            self._known.put(quarantined)
         self._local = QuarantineRegistry()
         self._all_reported.set()
 
@@ -177,6 +177,6 @@
                     notify()
 
 
-def find_retry_seconds(held: QuarantinedRequest) -> float:
+def find_retry_seconds(quarantined: QuarantinedRequest) -> float:
     """Return the seconds after which the caller of a quarantined request may retry."""
-    return max(MIN_RETRY_SECONDS, round(held.until - time.time(), 1))
+    return max(MIN_RETRY_SECONDS, round(quarantined.until - time.time(), 1))
