--- a/packages/damsonlaned/src/damsonlaned/dialects/_header_dialect.py
+++ b/packages/damsonlaned/src/damsonlaned/dialects/_header_dialect.py
@@ -84,7 +84,7 @@
         request_id = self._find_header(request, "request_id")
         if not request_id:
             raise BadRequestError(f"the header {self.headers.request_id} is missing")
-        tokens_in, tokens_out = self._read_tokens(request)
+        prompt_tokens, max_output_tokens = self._read_tokens(request)
         return CallerRequest(
             http=request,
             request_id=request_id,
@@ -92,8 +92,8 @@
             key=(self._find_header(request, "key") or "").removeprefix(self.headers.key_scheme),
             deadline_seconds=self._read_deadline(request),
             prefix_segments=self._read_prefix(request),
-            prompt_tokens=tokens_in,
-            max_output_tokens=tokens_out,
+            prompt_tokens=prompt_tokens,
+            max_output_tokens=max_output_tokens,
             pieces=self._read_pieces(request),
             material_key=self._find_header(request, "material_key") or "",
         )
