--- a/packages/damsonlaned/src/damsonlaned/gateway/_caller_service.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_caller_service.py
@@ -74,7 +74,7 @@
     def __init__(self, dependencies: HandlerDependencies) -> None:
         self._dependencies: Final = dependencies
         self._in_flight = 0
-        self._ages: Final = CallerWaitEstimator()
+        self._earlier_waits: Final = CallerWaitEstimator()
         self._has_routes: Final = asyncio.Event()
         dependencies.view.on_change(self._signal_routes)
         self._started_at: Final = asyncio.get_running_loop().time()
@@ -179,7 +179,9 @@
             arrived_at=arrived_at,
             deadline_at=arrived_at + seconds - ANSWER_MARGIN_SECONDS,
             fingerprint=_find_fingerprint(request, organisation),
-            earlier_wait_seconds=self._ages.estimate_seconds(route.name, request.deadline_seconds),
+            earlier_wait_seconds=self._earlier_waits.estimate_seconds(
+                route.name, request.deadline_seconds
+            ),
         )
 
     def _find_table(self) -> RouteTable:
--- a/packages/damsonlaned/src/damsonlaned/gateway/_prompt_placer.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_prompt_placer.py
@@ -28,7 +28,7 @@
             properties.token_bytes / properties.link_speed if properties.link_speed else None
         )
         self._engine_table: Final = EngineTable(properties.cache_tokens, seconds_per_token)
-        self._sides: Final = PromptPartition()
+        self._partition: Final = PromptPartition()
         self._warm_up_gate: Final = WarmupLimiter()
         self._engines: tuple[EngineLocation, ...] = ()
         view.on_change(self._update_engines)
@@ -45,8 +45,8 @@
             self._engine_table.record_outcome(sender, read, now)
 
     def _place_one(self, sender: str, order: PlacementRequest) -> Placement:
-        self._sides.record(order.tokens)
-        side = self._sides.find_engines(order.tokens, self._engines)
+        self._partition.record(order.tokens)
+        engines = self._partition.find_engines(order.tokens, self._engines)
         now = asyncio.get_running_loop().time()
         warming_up = self._view.list_warming_up(self._service)
         limited = self._view.list_rate_limited(self._service)
@@ -54,7 +54,7 @@
             *self._list_at_warm_up_limit(warming_up, now),
             *self._list_at_rate_limit(limited),
         ]
-        placement = self._engine_table.place(sender, order, side, now, excluded, limited)
+        placement = self._engine_table.place(sender, order, engines, now, excluded, limited)
         if placement.target in warming_up:
             self._warm_up_gate.record(placement.target, now)
         if placement.target in limited:
--- a/packages/damsonlaned/src/damsonlaned/gateway/_target_selector.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_target_selector.py
@@ -96,7 +96,7 @@
         self._data_centre: Final = data_centre
         self._entries: Final = entries
         self._tables: dict[str, TargetTable] = {}
-        self._sides: dict[str, PromptPartition] = {}
+        self._partitions: dict[str, PromptPartition] = {}
         self._connections: dict[str, ConnectionPool] = {}
         self._misdirected: set[str] = set()
         self._randomness: Final = random.Random()
@@ -188,7 +188,7 @@
         if not limited:
             return {}
         unusable = self.list_unusable(service)
-        return {name: named for name, named in limited.items() if name not in unusable}
+        return {name: incarnation for name, incarnation in limited.items() if name not in unusable}
 
     def are_all_rate_limited(self, service: Service) -> bool:
         """Return whether all usable targets announced a rate limit."""
@@ -200,8 +200,8 @@
     def _find_source_address(self, service: Service, placed: PlacedPrompt) -> str:
         """Return the address of the engine to copy prompt segments from, or an empty string."""
         records = self._view.open_targets_of(service.name)
-        named = [record.address for record in records if record.target == placed.source]
-        return named[0] if named else ""
+        addresses = [record.address for record in records if record.target == placed.source]
+        return addresses[0] if addresses else ""
 
     def list_unusable(self, service: Service) -> set[str]:
         """Return the targets that are ejected, draining, evacuated, backing off or misdirected."""
@@ -217,7 +217,7 @@
     def record_prompt(self, service: Service, prompt: Prompt) -> None:
         """Record the prompt of a new request, by which engines are partitioned."""
         if service.engine is not None:
-            self._sides.setdefault(service.name, PromptPartition()).record(prompt.tokens)
+            self._partitions.setdefault(service.name, PromptPartition()).record(prompt.tokens)
 
     def _find_side(
         self, service: Service, prompt: Prompt, records: Sequence[TargetRecord]
@@ -230,8 +230,8 @@
             for record in records
             if record.standing == "live" and self._view.is_open(record)
         )
-        sides = self._sides.setdefault(service.name, PromptPartition())
-        return sides.find_engines(prompt.tokens, engines)
+        partition = self._partitions.setdefault(service.name, PromptPartition())
+        return partition.find_engines(prompt.tokens, engines)
 
     def finish(
         self,
--- a/packages/damsonlaned/src/damsonlaned/gateway/_target_wait.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_target_wait.py
@@ -107,11 +107,11 @@
         return self._call.objective_at - asyncio.get_running_loop().time()
 
 
-def make_no_target_failure(place: NoTarget) -> FailedAttempt:
+def make_no_target_failure(no_target: NoTarget) -> FailedAttempt:
     """Return the failed attempt of a request for which there is no target."""
     return FailedAttempt(
-        detail=place.detail,
+        detail=no_target.detail,
         may_have_run=False,
         has_no_target=True,
-        return_seconds=place.return_seconds,
+        return_seconds=no_target.return_seconds,
     )
