--- a/packages/damsonlaned/src/damsonlaned/gateway/_caller_service.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_caller_service.py
@@ -74,7 +74,7 @@
     def __init__(self, dependencies: HandlerDependencies) -> None:
         self._dependencies: Final = dependencies
         self._in_flight = 0
-        self._ages: Final = CallerWaitEstimator()
+        self._earlier_waits: Final = CallerWaitEstimator()
         self._has_routes: Final = asyncio.Event()
         dependencies.view.on_change(self._signal_routes)
         self._started_at: Final = asyncio.get_running_loop().time()
@@ -102,7 +102,7 @@
         """Return the response to a malformed request."""
         return self._dependencies.dialect.render_refusal(Refusal(status=status, detail=detail), "")
 
-    async def serve(self, http: HttpRequest, reply: ResponseWriter) -> None:
+    async def serve(self, http: HttpRequest, writer: ResponseWriter) -> None:
         """Serve one request."""
         self._in_flight += 1
         request_id = ""
@@ -113,18 +113,18 @@
             await self._wait_for_routes()
             call = self._admit(request, arrived_at)
         except _RefusedError as error:
-            self._refuse(error.refusal, request_id, http, reply)
+            self._refuse(error.refusal, request_id, http, writer)
             return
         else:
-            await self._run_handler(call, reply)
+            await self._run_handler(call, writer)
         finally:
             self._in_flight -= 1
 
-    async def _run_handler(self, call: Call, reply: ResponseWriter) -> None:
+    async def _run_handler(self, call: Call, writer: ResponseWriter) -> None:
         dependencies = self._dependencies
         handler = RequestHandler(
             call,
-            reply,
+            writer,
             dependencies.attempts,
             dependencies.stages,
             dependencies.exit_detector,
@@ -179,7 +179,9 @@
             arrived_at=arrived_at,
             deadline_at=arrived_at + seconds - ANSWER_MARGIN_SECONDS,
             fingerprint=_find_fingerprint(request, organisation),
-            earlier_wait_seconds=self._ages.estimate_seconds(route.name, request.deadline_seconds),
+            earlier_wait_seconds=self._earlier_waits.estimate_seconds(
+                route.name, request.deadline_seconds
+            ),
         )
 
     def _find_table(self) -> RouteTable:
@@ -219,9 +221,9 @@
         return organisation
 
     def _refuse(
-        self, refusal: Refusal, request_id: str, http: HttpRequest, reply: ResponseWriter
+        self, refusal: Refusal, request_id: str, http: HttpRequest, writer: ResponseWriter
     ) -> None:
-        reply.send_response(self._dependencies.dialect.render_refusal(refusal, request_id))
+        writer.send_response(self._dependencies.dialect.render_refusal(refusal, request_id))
         self._dependencies.metrics.requests.inc(
             {"route": "", "outcome": f"refused-{refusal.status}"}
         )
