--- a/packages/damsonlane/src/damsonlane/pools/_batch.py
+++ b/packages/damsonlane/src/damsonlane/pools/_batch.py
@@ -17,25 +17,27 @@
 CALLS_TO_WAIT_FOR_WHOLE_STAGE: Final = 2.0
 
 
-def fill_batch(ordered: list[WaitingPiece], now: float, offer: CallCapacity) -> list[WaitingPiece]:
+def fill_batch(
+    ordered: list[WaitingPiece], now: float, capacity: CallCapacity
+) -> list[WaitingPiece]:
     """Return the pieces of one call, within its batch size and the free result memory.
 
     Args:
         ordered: the pieces that may run, most urgent first.
         now: the monotonic clock, in seconds.
-        offer: the target that takes the call.
+        capacity: the target that takes the call.
     """
-    fitting = [piece for piece in ordered if _may_run_at(piece, now, offer)]
-    groups = _group(_prefer_local(fitting, offer))
-    batch = _take_groups(groups, now, offer)
+    fitting = [piece for piece in ordered if _may_run_at(piece, now, capacity)]
+    groups = _group(_prefer_local(fitting, capacity))
+    batch = _take_groups(groups, now, capacity)
     if not batch and groups:
         # Running a part of the most urgent stage is better than leaving the target idle.
-        return _take(groups[0], offer.batch, offer.result_memory_bytes)
+        return _take(groups[0], capacity.batch, capacity.result_memory_bytes)
     return batch
 
 
 def _take_groups(
-    groups: list[list[WaitingPiece]], now: float, offer: CallCapacity
+    groups: list[list[WaitingPiece]], now: float, capacity: CallCapacity
 ) -> list[WaitingPiece]:
     """Return the pieces of all groups that fit completely, and parts of those that may be split.
 
@@ -43,26 +45,26 @@
     the first results would occupy result memory until the last piece is computed.
     """
     batch: list[WaitingPiece] = []
-    memory_bytes = float(offer.result_memory_bytes)
+    memory_bytes = float(capacity.result_memory_bytes)
     for group in groups:
-        taken = _take(group, offer.batch - len(batch), memory_bytes)
-        if len(taken) < len(group) and not _may_split(group, now, offer):
+        taken = _take(group, capacity.batch - len(batch), memory_bytes)
+        if len(taken) < len(group) and not _may_split(group, now, capacity):
             continue
         memory_bytes -= sum(map(_estimate_size, taken))
         batch.extend(taken)
     return batch
 
 
-def _prefer_local(pieces: list[WaitingPiece], offer: CallCapacity) -> list[WaitingPiece]:
+def _prefer_local(pieces: list[WaitingPiece], capacity: CallCapacity) -> list[WaitingPiece]:
     """Return pieces reordered so that pieces for this data centre come first.
 
     Only pieces that run at the same time change places: their order decides where each one
     runs, not when.
     """
-    at_once = offer.pieces_at_once
+    at_once = capacity.pieces_at_once
     indexed = sorted(
         enumerate(pieces),
-        key=lambda item: (item[0] // at_once, item[1].order.home != offer.data_centre),
+        key=lambda item: (item[0] // at_once, item[1].order.home != capacity.data_centre),
     )
     return [piece for _, piece in indexed]
 
@@ -92,21 +94,21 @@
     return size * (1.0 + SIZE_MARGIN) if piece.order.inputs else size
 
 
-def _may_split(group: list[WaitingPiece], now: float, offer: CallCapacity) -> bool:
+def _may_split(group: list[WaitingPiece], now: float, capacity: CallCapacity) -> bool:
     """Return whether a group may run in several calls: it exceeds one call, or cannot wait."""
-    is_too_large = len(group) > offer.batch
+    is_too_large = len(group) > capacity.batch
     is_short_of_time = (
-        group[0].objective_at < now + CALLS_TO_WAIT_FOR_WHOLE_STAGE * offer.full_seconds
+        group[0].objective_at < now + CALLS_TO_WAIT_FOR_WHOLE_STAGE * capacity.full_seconds
     )
     return is_too_large or is_short_of_time
 
 
-def _may_run_at(piece: WaitingPiece, now: float, offer: CallCapacity) -> bool:
+def _may_run_at(piece: WaitingPiece, now: float, capacity: CallCapacity) -> bool:
     """Return whether a piece may run here rather than wait for a target in its home data centre."""
     home = piece.order.home
-    if home in ("", offer.data_centre) or home not in offer.seconds_until_free:
+    if home in ("", capacity.data_centre) or home not in capacity.seconds_until_free:
         return True
-    if offer.seconds_until_free[home] > HOME_WAIT_SECONDS:
+    if capacity.seconds_until_free[home] > HOME_WAIT_SECONDS:
         return True
-    begins_at = now + offer.seconds_until_free[home]
-    return piece.objective_at < begins_at + CALLS_AFTER_WAIT * offer.full_seconds
+    begins_at = now + capacity.seconds_until_free[home]
+    return piece.objective_at < begins_at + CALLS_AFTER_WAIT * capacity.full_seconds
--- a/packages/damsonlane/src/damsonlane/pools/_queue.py
+++ b/packages/damsonlane/src/damsonlane/pools/_queue.py
@@ -66,31 +66,31 @@
         self._waiting.clear()
         return pieces
 
-    def estimate_wait(self, now: float, offer: CallCapacity, like: PieceOrder) -> float:
+    def estimate_wait(self, now: float, capacity: CallCapacity, order: PieceOrder) -> float:
         """Return the seconds until a piece like a given one would start if it were added now.
 
         Only pieces that go before it count: not those that already miss their latency
         objective, nor those whose objective is later.
         """
-        soonest = offer.earliest_completion(now)
-        last_aim_at = now + like.aim_left_seconds
+        earliest = capacity.earliest_completion(now)
+        last_aim_at = now + order.aim_left_seconds
         ahead = sum(
-            soonest <= piece.objective_at <= last_aim_at for piece in self._waiting.values()
+            earliest <= piece.objective_at <= last_aim_at for piece in self._waiting.values()
         )
-        wait = ahead / offer.pieces_per_second * self._wait_factor(like.rank, now, offer)
-        return offer.backoff_seconds + wait
+        wait = ahead / capacity.pieces_per_second * self._wait_factor(order.rank, now, capacity)
+        return capacity.backoff_seconds + wait
 
-    def select(self, now: float, offer: CallCapacity) -> Selection:
+    def select(self, now: float, capacity: CallCapacity) -> Selection:
         """Remove and return the pieces of the next call, and those that are too late."""
-        expired = self.take_expired(now, offer)
-        evaluation = self._evaluate(now, offer)
-        refused = self._list_refused(evaluation, now, offer)
+        expired = self.take_expired(now, capacity)
+        evaluation = self._evaluate(now, capacity)
+        refused = self._list_refused(evaluation, now, capacity)
         late = _list_pieces(refused)
         self._record_refused(late, now)
         self._remove(late)
         ordered = _list_pieces([*evaluation.in_time, *evaluation.not_in_time])
         left = [piece for piece in ordered if piece.identity in self._waiting]
-        batch = fill_batch(left, now, offer)
+        batch = fill_batch(left, now, capacity)
         self._remove(batch)
         for piece in batch:
             self._recent_work.record(piece.order.rank, now)
@@ -98,31 +98,31 @@
                 self._priorities.record_served(piece.order.rank, now)
         return Selection(batch=tuple(batch), late=(*expired, *late))
 
-    def take_late(self, now: float, offer: CallCapacity) -> tuple[WaitingPiece, ...]:
+    def take_late(self, now: float, capacity: CallCapacity) -> tuple[WaitingPiece, ...]:
         """Remove and return the pieces that are too late, or will be before their turn."""
-        expired = self.take_expired(now, offer)
-        refused = _list_pieces(self._list_refused(self._evaluate(now, offer), now, offer))
+        expired = self.take_expired(now, capacity)
+        refused = _list_pieces(self._list_refused(self._evaluate(now, capacity), now, capacity))
         self._record_refused(refused, now)
         self._remove(refused)
         return (*expired, *refused)
 
-    def take_expired(self, now: float, offer: CallCapacity) -> tuple[WaitingPiece, ...]:
+    def take_expired(self, now: float, capacity: CallCapacity) -> tuple[WaitingPiece, ...]:
         """Remove and return the pieces whose deadline passes before a call could compute them."""
-        soonest = offer.earliest_completion(now)
-        expired = [piece for piece in self._waiting.values() if piece.deadline_at < soonest]
+        earliest = capacity.earliest_completion(now)
+        expired = [piece for piece in self._waiting.values() if piece.deadline_at < earliest]
         self._remove(expired)
         return tuple(expired)
 
-    def _evaluate(self, now: float, offer: CallCapacity) -> _Evaluation:
+    def _evaluate(self, now: float, capacity: CallCapacity) -> _Evaluation:
         """Order the waiting stages and separate those that can meet their latency objective."""
-        schedule = Schedule(offer, now)
+        schedule = Schedule(capacity, now)
         stages = group_stages(self._waiting.values())
         in_time: list[WaitingStage] = []
         not_in_time: list[WaitingStage] = []
         ranks = {stage.rank for stage in stages}
         priorities = {rank: self._priorities.sort_key(rank) for rank in ranks}
         # Computed once per rank and not per stage, to keep evaluations cheap.
-        shares = {rank: self._capacity_share(rank, now, offer) for rank in ranks}
+        shares = {rank: self._capacity_share(rank, now, capacity) for rank in ranks}
         for stage in sorted(stages, key=lambda stage: _priority_key(stage, priorities[stage.rank])):
             is_scheduled = schedule.try_add(stage, shares[stage.rank])
             (in_time if is_scheduled else not_in_time).append(stage)
@@ -131,7 +131,7 @@
         return _Evaluation(in_time=in_time, not_in_time=not_in_time)
 
     def _list_refused(
-        self, evaluation: _Evaluation, now: float, offer: CallCapacity
+        self, evaluation: _Evaluation, now: float, capacity: CallCapacity
     ) -> list[WaitingStage]:
         """Return the stages not in time whose requests are to be refused.
 
@@ -140,7 +140,7 @@
         requests in time need, but not once their callers have waited for long.  Stages that
         the targets can take at once are not refused, unless no target can be used.
         """
-        at_once = offer.pieces_within_call
+        at_once = capacity.pieces_within_call
         ahead = sum(len(stage.pieces) for stage in evaluation.in_time)
         refused: list[WaitingStage] = []
         for stage in evaluation.not_in_time:
@@ -150,17 +150,17 @@
                 ahead += len(stage.pieces)
         return refused
 
-    def _capacity_share(self, rank: int, now: float, offer: CallCapacity) -> float:
+    def _capacity_share(self, rank: int, now: float, capacity: CallCapacity) -> float:
         """Return the share of the nominal throughput that is left for a rank."""
-        return offer.throughput_ratio / self._wait_factor(rank, now, offer)
+        return capacity.throughput_ratio / self._wait_factor(rank, now, capacity)
 
-    def _wait_factor(self, rank: int, now: float, offer: CallCapacity) -> float:
+    def _wait_factor(self, rank: int, now: float, capacity: CallCapacity) -> float:
         """Return by what factor further pieces of higher priority lengthen the wait of a rank.
 
         They are assumed to keep arriving at their recent rate.
         """
         before = self._priorities.list_before(rank, self._recent_work.ranks())
-        share = self._recent_work.rate_of(before, now) / offer.pieces_per_second
+        share = self._recent_work.rate_of(before, now) / capacity.pieces_per_second
         return 1.0 / (1.0 - min(MAX_HIGHER_PRIORITY_SHARE, share))
 
     def _record_refused(self, pieces: Sequence[WaitingPiece], now: float) -> None:
--- a/packages/damsonlane/src/damsonlane/pools/_result_memory.py
+++ b/packages/damsonlane/src/damsonlane/pools/_result_memory.py
@@ -54,16 +54,16 @@
         """
         self._announced += size
 
-    def commit(self, announced: int, made: dict[str, int], now: float) -> None:
+    def commit(self, announced: int, sizes: dict[str, int], now: float) -> None:
         """Replace the reservation of a call by the results that it computed.
 
         Args:
             announced: the size that was reserved for the call, in bytes.
-            made: sizes of its results by handle, in bytes.
+            sizes: sizes of its results by handle, in bytes.
             now: the monotonic clock, in seconds.
         """
         self._announced -= announced
-        for handle, size in made.items():
+        for handle, size in sizes.items():
             self._stored[handle] = _StoredResult(size=size, expires_at=now + self._keep_seconds)
 
     def record_rejection(self, missing: int, size: int, now: float) -> None:
--- a/packages/damsonlane/src/damsonlane/pools/_schedule.py
+++ b/packages/damsonlane/src/damsonlane/pools/_schedule.py
@@ -50,16 +50,16 @@
     """Capacity of a pool in its next calls, which stages reserve until none is left in time.
 
     Args:
-        offer: the capacity of the pool.
+        capacity: the capacity of the pool.
         now: the monotonic clock, in seconds.
     """
 
-    def __init__(self, offer: CallCapacity, now: float) -> None:
+    def __init__(self, capacity: CallCapacity, now: float) -> None:
         self._now: Final = now
-        self._step: Final = offer.full_seconds / STEPS_PER_CALL
-        steps = _count_steps(offer, self._step)
+        self._step: Final = capacity.full_seconds / STEPS_PER_CALL
+        steps = _count_steps(capacity, self._step)
         #: Pieces that can be computed by the end of each step, and those that must be.
-        self._capacity: Final = _find_capacity(offer, self._step, steps)
+        self._computable: Final = _find_capacity(capacity, self._step, steps)
         self._needed: Final = [0] * steps
         self._last = 0
 
@@ -78,9 +78,9 @@
             return False
         count = len(stage.pieces)
         last = max(step, self._last)
-        needed, capacity = self._needed, self._capacity
+        needed, computable = self._needed, self._computable
         for later in range(step, last + 1):
-            if needed[later] + count > capacity[later] * share:
+            if needed[later] + count > computable[later] * share:
                 return False
         for later in range(step, len(needed)):
             needed[later] += count
@@ -101,50 +101,50 @@
     return [WaitingStage(pieces=tuple(group)) for group in groups.values()]
 
 
-def _count_steps(offer: CallCapacity, step: float) -> int:
+def _count_steps(capacity: CallCapacity, step: float) -> int:
     """Return the length of the horizon; it includes the next calls of rate-limited targets."""
     usual = STEPS_PER_CALL * CALLS_AHEAD
-    if not offer.call_interval_seconds:
+    if not capacity.call_interval_seconds:
         return usual
-    next_calls = map(sum, zip(offer.busy_seconds, offer.call_interval_seconds, strict=True))
+    next_calls = map(sum, zip(capacity.busy_seconds, capacity.call_interval_seconds, strict=True))
     return min(MAX_STEPS, usual + int(max(next_calls) / step))
 
 
-def _find_capacity(offer: CallCapacity, step: float, steps: int) -> Sequence[float]:
+def _find_capacity(capacity: CallCapacity, step: float, steps: int) -> Sequence[float]:
     """Return how many pieces the targets can compute by the end of each step."""
-    capacity = [0.0] * steps
+    computable = [0.0] * steps
     # If no target can be used, one is assumed to return at once or after its back-off.
-    waits = offer.busy_seconds or (offer.backoff_seconds,)
-    gaps = offer.call_interval_seconds or (0.0,) * len(waits)
+    waits = capacity.busy_seconds or (capacity.backoff_seconds,)
+    gaps = capacity.call_interval_seconds or (0.0,) * len(waits)
     for busy, gap in zip(waits, gaps, strict=True):
-        _add_target(capacity, offer, step, busy, gap)
-    return capacity
+        _add_target(computable, capacity, step, busy, gap)
+    return computable
 
 
 def _add_target(
-    capacity: list[float], offer: CallCapacity, step: float, busy: float, gap: float
+    computable: list[float], capacity: CallCapacity, step: float, busy: float, gap: float
 ) -> None:
     """Add what one target computes by the end of each step: full calls, then a partial one.
 
     Args:
-        capacity: pieces that all targets compute by the end of each step.
-        offer: the capacity of the pool.
+        computable: pieces that all targets compute by the end of each step.
+        capacity: the capacity of the pool.
         step: length of a step, in seconds.
         busy: seconds until the target takes a call.
         gap: minimum seconds from the start of one call to the next, by its rate limit.
     """
     # Read once: the loop runs for every target and step of each evaluation.
-    full_seconds = offer.full_seconds
-    call_seconds = offer.call_seconds
-    piece_seconds = offer.piece_seconds
-    batch = offer.batch
+    full_seconds = capacity.full_seconds
+    call_seconds = capacity.call_seconds
+    piece_seconds = capacity.piece_seconds
+    batch = capacity.batch
     cycle = max(full_seconds, gap)
     idle = cycle - full_seconds
-    for index in range(int(busy / step), len(capacity)):
+    for index in range(int(busy / step), len(computable)):
         seconds = (index + 1) * step - busy
         if seconds <= 0:
             continue
         # The tolerance counts a call that ends together with the step, despite rounding.
         calls = int((seconds + idle) / cycle + 1e-6)
         rest = seconds - calls * cycle - call_seconds
-        capacity[index] += calls * batch + max(0.0, rest / piece_seconds)
+        computable[index] += calls * batch + max(0.0, rest / piece_seconds)
--- a/packages/damsonlane/src/damsonlane/pools/tests/test_queue.py
+++ b/packages/damsonlane/src/damsonlane/pools/tests/test_queue.py
@@ -47,8 +47,10 @@
 )
 
 
-def select(queue: PieceQueue, *, limit: int = 10, room: int = 1000, now: float = 0.0) -> list[int]:
-    selection = queue.select(now, replace(OFFER, batch=limit, result_memory_bytes=room))
+def select(
+    queue: PieceQueue, *, limit: int = 10, result_memory: int = 1000, now: float = 0.0
+) -> list[int]:
+    selection = queue.select(now, replace(OFFER, batch=limit, result_memory_bytes=result_memory))
     return [piece.order.number for piece in selection.batch]
 
 
@@ -177,7 +179,7 @@
             ("no time to wait", 5, 1000, 0.4, [1, 2, 3, 4, 5]),
             ("too large for any call", 2, 1000, 9.0, [1, 2]),
         )
-        for name, limit, room, aim_at, expected in cases:
+        for name, limit, result_memory, aim_at, expected in cases:
             with self.subTest(name):
                 queue = PieceQueue()
                 for number in range(1, 7):
@@ -187,7 +189,7 @@
                             order=order, sender="e1", deadline_at=20.0, objective_at=aim_at
                         )
                     )
-                self.assertEqual(select(queue, limit=limit, room=room), expected)
+                self.assertEqual(select(queue, limit=limit, result_memory=result_memory), expected)
 
     def test_a_target_prefers_local_pieces_among_those_that_run_at_once(self) -> None:
         for number, home in ((1, "johar"), (2, "dha"), (3, "johar"), (4, "dha")):
@@ -195,25 +197,29 @@
             self.queue.add(
                 WaitingPiece(order=order, sender="e1", deadline_at=20.0, objective_at=0.5)
             )
-        offer = replace(
+        capacity = replace(
             OFFER, batch=1, busy_seconds=(0.0, 0.0), seconds_until_free={"dha": 0.0, "johar": 0.3}
         )
         taken = [
-            piece.order.number for _ in range(3) for piece in self.queue.select(0.0, offer).batch
+            piece.order.number for _ in range(3) for piece in self.queue.select(0.0, capacity).batch
         ]
         self.assertEqual(taken, [2, 1, 4])
 
     def test_the_forecast_grows_with_recent_work_of_higher_priority(self) -> None:
-        offer = replace(OFFER, batch=100)
+        capacity = replace(OFFER, batch=100)
         for number in range(100):
             self.queue.add(make_piece(number, aim_at=9.0, due_at=20.0))
-        self.assertEqual(len(self.queue.select(0.0, offer).batch), 100)
+        self.assertEqual(len(self.queue.select(0.0, capacity).batch), 100)
         for number in range(100, 120):
             self.queue.add(make_piece(number, aim_at=9.0, due_at=20.0, rank=1))
-        usual = self.queue.estimate_wait(0.0, offer, replace(LATEST, rank=0, aim_left_seconds=19.0))
-        after = self.queue.estimate_wait(0.0, offer, replace(LATEST, rank=2, aim_left_seconds=19.0))
+        usual = self.queue.estimate_wait(
+            0.0, capacity, replace(LATEST, rank=0, aim_left_seconds=19.0)
+        )
+        after = self.queue.estimate_wait(
+            0.0, capacity, replace(LATEST, rank=2, aim_left_seconds=19.0)
+        )
         later = self.queue.estimate_wait(
-            60.0, offer, replace(LATEST, rank=2, aim_left_seconds=19.0)
+            60.0, capacity, replace(LATEST, rank=2, aim_left_seconds=19.0)
         )
         self.assertGreater(after, 1.5 * usual)
         self.assertEqual(later, 0.0)
@@ -243,7 +249,7 @@
     def test_a_batch_fits_the_free_result_memory(self) -> None:
         for number in range(4):
             self.queue.add(make_piece(number))
-        self.assertEqual(len(select(self.queue, room=25)), 2)
+        self.assertEqual(len(select(self.queue, result_memory=25)), 2)
 
     def test_result_sizes_of_pieces_with_inputs_include_a_margin(self) -> None:
         cases = (("without inputs", (), 3), ("with inputs", ("h",), 2))
@@ -253,7 +259,7 @@
                 for number in range(3):
                     piece = make_piece(number)
                     queue.add(replace(piece, order=replace(piece.order, inputs=inputs)))
-                self.assertEqual(len(select(queue, room=30)), expected)
+                self.assertEqual(len(select(queue, result_memory=30)), expected)
 
     def test_a_piece_is_queued_only_once(self) -> None:
         self.queue.add(make_piece(1))
@@ -276,8 +282,8 @@
                 queue = PieceQueue()
                 for number in range(1, 5):
                     queue.add(make_piece(number, aim_at=0.5))
-                offer = replace(OFFER, batch=2, throughput_ratio=share)
-                selection = queue.select(0.0, offer)
+                capacity = replace(OFFER, batch=2, throughput_ratio=share)
+                selection = queue.select(0.0, capacity)
                 self.assertEqual([piece.order.number for piece in selection.late], late)
 
 
