--- a/packages/damsonlane/src/damsonlane/placement/_engine_table.py
+++ b/packages/damsonlane/src/damsonlane/placement/_engine_table.py
@@ -83,20 +83,20 @@
         self._pace: Final = PrefillPace()
         self._pending: dict[tuple[str, int], _Pending] = {}
 
-    def update(self, places: Collection[EngineLocation]) -> None:
+    def update(self, locations: Collection[EngineLocation]) -> None:
         """Replace the usable engines; the cache of a restarted engine is empty."""
-        for removed in set(self._engines) - {place.target for place in places}:
+        for removed in set(self._engines) - {location.target for location in locations}:
             del self._engines[removed]
-        for place in places:
-            known = self._engines.get(place.target)
-            if known is None or known.start != place.start:
-                engine = Engine(self._cache_tokens, place.data_centre, place.start)
-                self._engines[place.target] = engine
+        for location in locations:
+            known = self._engines.get(location.target)
+            if known is None or known.start != location.start:
+                engine = Engine(self._cache_tokens, location.data_centre, location.start)
+                self._engines[location.target] = engine
 
     def place(
         self,
         sender: str,
-        order: PlacementRequest,
+        request: PlacementRequest,
         preferred: Collection[str],
         now: float,
         excluded: Collection[str] = (),
@@ -106,7 +106,7 @@
 
         Args:
             sender: name of the sender.
-            order: the prompt.
+            request: the prompt.
             preferred: names of the engines for prompts of this length.
             now: the monotonic clock, in seconds.
             excluded: names of engines that must not get prompts at the moment.
@@ -115,39 +115,41 @@
         Returns:
             The engine, and the one from which it should fetch segments of the prompt.
         """
-        usable = self._find_usable(order, excluded, now)
+        usable = self._find_usable(request, excluded, now)
         if not usable:
-            return Placement(number=order.number, target="")
-        candidates = self._list_candidates(usable, order, preferred, rate_limited, now)
+            return Placement(number=request.number, target="")
+        candidates = self._list_candidates(usable, request, preferred, rate_limited, now)
         chosen = min(
-            candidates, key=lambda candidate: (candidate.cost, _rank(candidate.name, order))
+            candidates, key=lambda candidate: (candidate.cost, _rank(candidate.name, request))
         )
-        self._record_placement(sender, order, chosen, now)
-        return Placement(number=order.number, target=chosen.name, source=chosen.transfer.source)
+        self._record_placement(sender, request, chosen, now)
+        return Placement(number=request.number, target=chosen.name, source=chosen.transfer.source)
 
     def _list_candidates(
         self,
         usable: Mapping[str, Engine],
-        order: PlacementRequest,
+        request: PlacementRequest,
         preferred: Collection[str],
         rate_limited: Collection[str],
         now: float,
     ) -> Sequence[_Candidate]:
         """Return the usable engines with the cost of a prompt at each."""
-        cached = {name: engine.cache.count_cached(order.shared) for name, engine in usable.items()}
-        transfers = self._plan_transfers(usable, order, cached, now)
-        home = self._find_home(order, cached, preferred)
+        cached = {
+            name: engine.cache.count_cached(request.shared) for name, engine in usable.items()
+        }
+        transfers = self._plan_transfers(usable, request, cached, now)
+        home = self._find_home(request, cached, preferred)
         candidates: list[_Candidate] = []
         for name, engine in usable.items():
             transfer = transfers[name]
-            uncached = order.tokens - cached[name] - transfer.tokens
-            charged = order.tokens - order.shared_tokens if name == home else uncached
-            cost = self._estimate_cost(engine, order, charged, transfer, now)
+            uncached = request.tokens - cached[name] - transfer.tokens
+            charged = request.tokens - request.shared_tokens if name == home else uncached
+            cost = self._estimate_cost(engine, request, charged, transfer, now)
             if name not in preferred:
                 cost += OTHER_LENGTH_SECONDS
             if name in rate_limited:
                 # Few of the following prompts can use the segments that it prefills.
-                new = max(0, order.shared_tokens - cached[name])
+                new = max(0, request.shared_tokens - cached[name])
                 cost += RATE_LIMITED_WEIGHT * self._pace.seconds(new)
             candidates.append(
                 _Candidate(name=name, uncached=uncached, transfer=transfer, cost=cost)
@@ -155,7 +157,7 @@
         return candidates
 
     def _find_home(
-        self, order: PlacementRequest, cached: Mapping[str, int], preferred: Collection[str]
+        self, request: PlacementRequest, cached: Mapping[str, int], preferred: Collection[str]
     ) -> str:
         """Return the engine that should prefill shared segments not cached anywhere; or empty.
 
@@ -163,7 +165,7 @@
         """
         if self._transfer_pace is not None or any(cached.values()):
             return ""
-        return min(cached, key=lambda name: (name not in preferred, _rank(name, order)))
+        return min(cached, key=lambda name: (name not in preferred, _rank(name, request)))
 
     def record_outcome(self, sender: str, outcome: PromptOutcome, now: float) -> None:
         """Record the outcome of a placed prompt."""
@@ -179,56 +181,61 @@
         engine.record_ratio(outcome.seconds / pending.seconds, now)
 
     def _find_usable(
-        self, order: PlacementRequest, excluded: Collection[str], now: float
+        self, request: PlacementRequest, excluded: Collection[str], now: float
     ) -> Mapping[str, Engine]:
         """Return the engines that may get a prompt; ejected ones only if no other is left."""
-        unusable = {*order.avoid, *excluded}
+        unusable = {*request.avoid, *excluded}
         known = {n: e for n, e in self._engines.items() if n not in unusable}
         return {n: e for n, e in known.items() if e.ejected_until <= now} or known
 
     def _plan_transfers(
         self,
         usable: Mapping[str, Engine],
-        order: PlacementRequest,
+        request: PlacementRequest,
         cached: Mapping[str, int],
         now: float,
     ) -> Mapping[str, Transfer]:
         """Return what each engine would fetch from another one."""
         if self._transfer_pace is None:
             return dict.fromkeys(usable, NO_TRANSFER)
-        return plan_transfers(usable, order, cached, self._transfer_pace, now)
+        return plan_transfers(usable, request, cached, self._transfer_pace, now)
 
     def _estimate_cost(
-        self, engine: Engine, order: PlacementRequest, uncached: int, transfer: Transfer, now: float
+        self,
+        engine: Engine,
+        request: PlacementRequest,
+        uncached: int,
+        transfer: Transfer,
+        now: float,
     ) -> float:
         """Return the cost of a prompt at an engine that prefills some of its tokens, in seconds."""
         wait = max(engine.wait_seconds(now), transfer.done_at - now)
         prefill = self._pace.seconds(uncached)
         first_event = (wait + prefill) * engine.find_slow_factor(now) + BASE_SECONDS
-        shared = uncached - (order.tokens - order.shared_tokens)
+        shared = uncached - (request.tokens - request.shared_tokens)
         recompute = RECOMPUTE_WEIGHT * self._pace.seconds(shared)
-        late = LATE_SECONDS if first_event > order.aim_left_seconds else 0.0
+        late = LATE_SECONDS if first_event > request.aim_left_seconds else 0.0
         return (
             first_event
             + recompute
             + late
-            + _count_remote_bytes(engine, order) * REMOTE_BYTE_SECONDS
+            + _count_remote_bytes(engine, request) * REMOTE_BYTE_SECONDS
         )
 
     def _record_placement(
-        self, sender: str, order: PlacementRequest, chosen: _Candidate, now: float
+        self, sender: str, request: PlacementRequest, chosen: _Candidate, now: float
     ) -> None:
         engine = self._engines[chosen.name]
         transfer = chosen.transfer
         wait = max(engine.wait_seconds(now), transfer.done_at - now)
         prefill = self._pace.seconds(chosen.uncached)
         engine.prefilled_at = now + engine.wait_seconds(now) + prefill
-        engine.cache.add(order.shared, now + wait + prefill)
+        engine.cache.add(request.shared, now + wait + prefill)
         if transfer.source:
             engine.link_free_at = transfer.done_at
             self._engines[transfer.source].link_free_at = transfer.done_at
         ahead = wait / max(1e-9, self._pace.seconds(1.0))
-        self._pending[(sender, order.number)] = _Pending(
+        self._pending[(sender, request.number)] = _Pending(
             name=chosen.name,
             engine=engine,
             tokens=chosen.uncached + ahead,
@@ -238,14 +245,16 @@
             del self._pending[next(iter(self._pending))]
 
 
-def _count_remote_bytes(engine: Engine, order: PlacementRequest) -> int:
+def _count_remote_bytes(engine: Engine, request: PlacementRequest) -> int:
     """Return the bytes of a prompt's inputs that are stored in other data centres."""
-    return sum(place.size for place in order.inputs if place.data_centre != engine.data_centre)
+    return sum(
+        location.size for location in request.inputs if location.data_centre != engine.data_centre
+    )
 
 
-def _rank(name: str, order: PlacementRequest) -> bytes:
+def _rank(name: str, request: PlacementRequest) -> bytes:
     """Return the rank of an engine for a prompt by rendezvous hashing; the least wins."""
-    return _rank_by_prefix(name, order.shared[-1].identity if order.shared else "")
+    return _rank_by_prefix(name, request.shared[-1].identity if request.shared else "")
 
 
 #: Cached ranks of an engine for a prefix: hashing would take most of the time of a placement.
--- a/packages/damsonlane/src/damsonlane/placement/_prompts.py
+++ b/packages/damsonlane/src/damsonlane/placement/_prompts.py
@@ -50,7 +50,7 @@
 class Placement:
     """The engine chosen for a prompt."""
 
-    #: Number of the order.
+    #: Number of the request.
     number: int
     #: Name of the engine; empty if none can be used.
     target: str
@@ -63,7 +63,7 @@
 class PromptOutcome:
     """Outcome of a placed prompt."""
 
-    #: Number of the order.
+    #: Number of the request.
     number: int
     #: Seconds from sending the request to the first event of its answer; None if the engine
     #: did not accept it.
--- a/packages/damsonlane/src/damsonlane/placement/_transfers.py
+++ b/packages/damsonlane/src/damsonlane/placement/_transfers.py
@@ -33,7 +33,7 @@
 
 def plan_transfers(
     engines: Mapping[str, Engine],
-    order: PlacementRequest,
+    request: PlacementRequest,
     cached: Mapping[str, int],
     pace: float,
     now: float,
@@ -42,13 +42,13 @@
 
     Args:
         engines: the engines, by name.
-        order: the prompt.
+        request: the prompt.
         cached: tokens of its shared segments that each engine has cached or is prefilling.
         pace: seconds per token of a transfer; a link carries one transfer at a time.
         now: the monotonic clock, in seconds.
     """
     prefilled = {
-        name: engine.cache.count_prefilled(order.shared, now) for name, engine in engines.items()
+        name: engine.cache.count_prefilled(request.shared, now) for name, engine in engines.items()
     }
     # The best two suffice: an engine does not fetch from itself.
     sources = sorted(engines, key=lambda name: -prefilled[name])[:2]
--- a/packages/damsonlane/src/damsonlane/placement/tests/simulation.py
+++ b/packages/damsonlane/src/damsonlane/placement/tests/simulation.py
@@ -57,7 +57,7 @@
 @dataclass(kw_only=True)
 class _Prefill:
     entry: int
-    order: PlacementRequest
+    request: PlacementRequest
     sent_at: float
     left: float
 
@@ -86,7 +86,9 @@
         #: Tokens of shared segments that were prefilled although an engine had cached them.
         self.recomputed = 0
 
-    def run(self, choose: Choose, note: Callable[[int, PromptOutcome, float], None]) -> None:
+    def run(
+        self, choose: Choose, record_outcome: Callable[[int, PromptOutcome, float], None]
+    ) -> None:
         """Run to the end."""
         number = 0
         now = 0.0
@@ -96,10 +98,10 @@
                     self.engines.remove(name)
             if self._random.random() < self._find_rate(now) * STEP_SECONDS:
                 number += 1
-                order = self._draw(number, now)
+                request = self._draw(number, now)
                 entry = self._random.randrange(self._entries)
-                self._send(choose(entry, order, now), entry, order, now)
-            self._prefill(now, note)
+                self._send(choose(entry, request, now), entry, request, now)
+            self._prefill(now, record_outcome)
             now += STEP_SECONDS
 
     def _is_peak(self, now: float) -> bool:
@@ -121,20 +123,24 @@
             number=number, shared=shared, tokens=6_300 + own, aim_left_seconds=AIM_SECONDS
         )
 
-    def _send(self, placement: Placement, entry: int, order: PlacementRequest, now: float) -> None:
+    def _send(
+        self, placement: Placement, entry: int, request: PlacementRequest, now: float
+    ) -> None:
         name = placement.target
-        cached = self._caches[name].count_cached(order.shared)
+        cached = self._caches[name].count_cached(request.shared)
         if placement.source:
             # A transfer is assumed to take no time: it is much faster than the prefill.
-            cached = max(cached, self._caches[placement.source].count_cached(order.shared))
-        best = max(self._caches[other].count_cached(order.shared) for other in self.engines)
+            cached = max(cached, self._caches[placement.source].count_cached(request.shared))
+        best = max(self._caches[other].count_cached(request.shared) for other in self.engines)
         self.recomputed += max(0, best - cached)
-        self._caches[name].add(order.shared)
+        self._caches[name].add(request.shared)
         self._prefills[name].append(
-            _Prefill(entry=entry, order=order, sent_at=now, left=order.tokens - cached)
+            _Prefill(entry=entry, request=request, sent_at=now, left=request.tokens - cached)
         )
 
-    def _prefill(self, now: float, note: Callable[[int, PromptOutcome, float], None]) -> None:
+    def _prefill(
+        self, now: float, record_outcome: Callable[[int, PromptOutcome, float], None]
+    ) -> None:
         for name, prefills in self._prefills.items():
             if name not in self.engines:
                 prefills.clear()
@@ -144,8 +150,10 @@
                 prefills.remove(prefill)
                 seconds = now - prefill.sent_at + 0.02
                 self.first_events.append(seconds)
-                note(
-                    prefill.entry, PromptOutcome(number=prefill.order.number, seconds=seconds), now
+                record_outcome(
+                    prefill.entry,
+                    PromptOutcome(number=prefill.request.number, seconds=seconds),
+                    now,
                 )
 
 
@@ -194,19 +202,19 @@
         self._buckets = {name: RateBucket(rate, 0.0) for name, rate in rate_limits.items()}
         self._counted = self._buckets.keys() if weighs_limits else ()
 
-    def choose(self, entry: int, order: PlacementRequest, now: float) -> Placement:
+    def choose(self, entry: int, request: PlacementRequest, now: float) -> Placement:
         self._table.update(
             [EngineLocation(target=name, data_centre="") for name in self._simulation.engines]
         )
         exhausted = [name for name, bucket in self._buckets.items() if bucket.wait_seconds(now) > 0]
         placement = self._table.place(
-            f"e{entry}", order, self._simulation.engines, now, exhausted, self._counted
+            f"e{entry}", request, self._simulation.engines, now, exhausted, self._counted
         )
         if placement.target in self._buckets:
             self._buckets[placement.target].try_acquire(now)
         return placement
 
-    def note(self, entry: int, outcome: PromptOutcome, now: float) -> None:
+    def record_outcome(self, entry: int, outcome: PromptOutcome, now: float) -> None:
         self._table.record_outcome(f"e{entry}", outcome, now)
 
 
@@ -217,18 +225,18 @@
         self._tables = [TargetTable() for _ in range(6)]
         self._chosen: dict[int, str] = {}
 
-    def choose(self, entry: int, order: PlacementRequest, now: float) -> Placement:
+    def choose(self, entry: int, request: PlacementRequest, now: float) -> Placement:
         names = self._simulation.engines
         self._tables[entry].update({n: TargetLocation(address=n, data_centre="x") for n in names})
-        origin = Origin(data_centre="x", affinity=order.shared[-1].identity)
+        origin = Origin(data_centre="x", affinity=request.shared[-1].identity)
         choice = self._tables[entry].choose(
             "prefix-affinity", origin, now=now, randomness=self._random
         )
         assert choice is not None
-        self._chosen[order.number] = choice.target
-        return Placement(number=order.number, target=choice.target)
+        self._chosen[request.number] = choice.target
+        return Placement(number=request.number, target=choice.target)
 
-    def note(self, entry: int, outcome: PromptOutcome, now: float) -> None:
+    def record_outcome(self, entry: int, outcome: PromptOutcome, now: float) -> None:
         self._tables[entry].finish(self._chosen[outcome.number], "good", now)
 
 
@@ -242,7 +250,7 @@
     for seed in range(seeds):
         simulation = EngineSimulation(prompts, seed)
         choice = make_choice(simulation)
-        simulation.run(choice.choose, choice.note)
+        simulation.run(choice.choose, choice.record_outcome)
         times.extend(simulation.first_events)
         recomputed += simulation.recomputed
     late = sum(seconds > AIM_SECONDS for seconds in times) / len(times)
--- a/packages/damsonlane/src/damsonlane/placement/tests/test_placement.py
+++ b/packages/damsonlane/src/damsonlane/placement/tests/test_placement.py
@@ -44,8 +44,8 @@
         self.table = EngineTable(300_000)
         self.table.update([EngineLocation(target=name, data_centre="") for name in ENGINES])
 
-    def place(self, order: PlacementRequest, now: float = 0.0) -> str:
-        return self.table.place("e", order, ENGINES, now).target
+    def place(self, request: PlacementRequest, now: float = 0.0) -> str:
+        return self.table.place("e", request, ENGINES, now).target
 
     def test_prompts_of_one_subject_go_to_one_engine_while_it_is_not_busy(self) -> None:
         chosen = {self.place(make_order(number), now=float(number)) for number in range(5)}
@@ -76,8 +76,8 @@
         self.fail("a slow engine still got all prompts of a subject")
 
     def test_engines_for_other_lengths_take_prompts_that_would_wait_long(self) -> None:
-        orders = [make_order(number, tokens=20_000) for number in range(4)]
-        chosen = [self.table.place("e", order, ("a",), 0.0).target for order in orders]
+        requests = [make_order(number, tokens=20_000) for number in range(4)]
+        chosen = [self.table.place("e", request, ("a",), 0.0).target for request in requests]
         self.assertEqual(chosen[0], "a")
         self.assertGreater(len(set(chosen)), 1)
 
@@ -97,8 +97,8 @@
         self.table = EngineTable(300_000, TRANSFER_PACE)
         self.table.update([EngineLocation(target=name, data_centre=name) for name in ENGINES])
 
-    def place(self, order: PlacementRequest, now: float = 0.0) -> Placement:
-        return self.table.place("e", order, ENGINES, now)
+    def place(self, request: PlacementRequest, now: float = 0.0) -> Placement:
+        return self.table.place("e", request, ENGINES, now)
 
     def test_an_engine_fetches_shared_segments_from_the_one_that_cached_them(self) -> None:
         first = self.place(make_order(1)).target
@@ -143,8 +143,8 @@
         for home in ENGINES:
             with self.subTest(home=home):
                 inputs = (InputLocation(data_centre=home, size=4_000_000),)
-                order = replace(make_order(9, subject=f"of {home}"), inputs=inputs)
-                self.assertEqual(self.place(order, now=20.0).target, home)
+                request = replace(make_order(9, subject=f"of {home}"), inputs=inputs)
+                self.assertEqual(self.place(request, now=20.0).target, home)
 
     def test_transfers_reduce_recomputation_and_late_first_events_in_a_peak(self) -> None:
         late, recomputed_tokens = simulate_central(PromptLoad(hot_share=0.3), 6)
