--- a/packages/damsonlane/src/damsonlane/ratelimit/_permits.py
+++ b/packages/damsonlane/src/damsonlane/ratelimit/_permits.py
@@ -23,9 +23,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Permit:
-    """The answer to an order: what a box may send."""
+    """The answer to a permit request: what a box may send."""
 
-    #: Number of the order.
+    #: Number of the request.
     number: int
     #: Name of the target that may get the request now; empty for none.
     target: str = ""
--- a/packages/damsonlane/src/damsonlane/ratelimit/_registry.py
+++ b/packages/damsonlane/src/damsonlane/ratelimit/_registry.py
@@ -13,9 +13,9 @@
 from damsonlane.ratelimit._table import RateLimitTable
 
 #: Ratio by which a rate must differ from the listed one to be reported again.  Boxes that ask the
-#: owner for permits need not know the exact rate, and a new owner gets it with the first order.
+#: owner for permits need not know the exact rate, and a new owner gets it with the first request.
 MIN_CHANGE_RATIO: Final = 1.5
-#: Most limits that are kept; the oldest ones are dropped.
+#: Most limits that are stored; the oldest ones are dropped.
 MAX_LIMITS: Final = 4_096
 
 
@@ -66,8 +66,8 @@
             self._reports.pop(report.named, None)
             if report.rate is not None:
                 self._reports[report.named] = RateLimitReport(named=report.named, rate=report.rate)
-        for named in list(self._reports)[:-MAX_LIMITS]:
-            del self._reports[named]
+        for incarnation in list(self._reports)[:-MAX_LIMITS]:
+            del self._reports[incarnation]
         return RateLimitsRecorded(is_changed=self._count_change(before))
 
     def forget(self, target: str, start: int = -1) -> None:
@@ -78,9 +78,9 @@
             start: the start of the incarnation to keep; -1 for none.
         """
         before = dict(self._reports)
-        for named in before:
-            if named.target == target and named.start != start:
-                del self._reports[named]
+        for incarnation in before:
+            if incarnation.target == target and incarnation.start != start:
+                del self._reports[incarnation]
         self._count_change(before)
 
     def _count_change(self, before: dict[TargetIncarnation, RateLimitReport]) -> bool:
@@ -94,29 +94,33 @@
     old = {report.named: report.rate for report in before.words}
     new = {report.named: report.rate for report in after.words}
     return tuple(
-        RateLimitReport(named=named, rate=new.get(named))
-        for named in old.keys() | new.keys()
-        if old.get(named) != new.get(named)
+        RateLimitReport(named=incarnation, rate=new.get(incarnation))
+        for incarnation in old.keys() | new.keys()
+        if old.get(incarnation) != new.get(incarnation)
     )
 
 
 def list_unreported(
-    book: RateLimitTable, listed: RateLimitList, now: float
+    table: RateLimitTable, listed: RateLimitList, now: float
 ) -> tuple[RateLimitReport, ...]:
     """Return the limits, and ends of limits, that a box knows and the replicated list lacks.
 
     Args:
-        book: the limits that the box knows.
+        table: the limits that the box knows.
         listed: the current replicated list.
         now: the time by the box's clock.
     """
     rates = {report.named: report.rate for report in listed.words}
-    known = {report.named: report for report in book.list_reports(now)}
+    known = {report.named: report for report in table.list_reports(now)}
     changed = [
         report for report in known.values() if _differs(rates.get(report.named), report.rate)
     ]
-    ended = [named for named in rates if named not in known and book.has_report(named)]
-    return (*changed, *(RateLimitReport(named=named, rate=None) for named in ended))
+    ended = [
+        incarnation
+        for incarnation in rates
+        if incarnation not in known and table.has_report(incarnation)
+    ]
+    return (*changed, *(RateLimitReport(named=incarnation, rate=None) for incarnation in ended))
 
 
 def _differs(listed: float | None, known: float | None) -> bool:
--- a/packages/damsonlane/src/damsonlane/ratelimit/_table.py
+++ b/packages/damsonlane/src/damsonlane/ratelimit/_table.py
@@ -50,19 +50,19 @@
         self._limits[report.named] = _StoredLimit(rate=report.rate, at=at)
         return known is None or known.rate != report.rate
 
-    def find_rate(self, named: TargetIncarnation) -> float | None:
+    def find_rate(self, incarnation: TargetIncarnation) -> float | None:
         """Return the requests a second that a target accepts; None where it announces no limit."""
-        limit = self._limits.get(named)
+        limit = self._limits.get(incarnation)
         return limit.rate if limit is not None else None
 
-    def is_limited(self, named: TargetIncarnation) -> bool:
+    def is_limited(self, incarnation: TargetIncarnation) -> bool:
         """Return whether a target announced a limit that has an effect."""
-        rate = self.find_rate(named)
+        rate = self.find_rate(incarnation)
         return rate is not None and rate < UNLIMITED_RATE
 
-    def has_report(self, named: TargetIncarnation) -> bool:
+    def has_report(self, incarnation: TargetIncarnation) -> bool:
         """Return whether a target is known to have announced or ended a limit."""
-        return named in self._limits
+        return incarnation in self._limits
 
     def is_empty(self) -> bool:
         """Return whether no limit or recent end of a limit is recorded."""
@@ -71,17 +71,17 @@
     def list_reports(self, now: float) -> tuple[RateLimitReport, ...]:
         """Return the limits in force, as reported to other boxes."""
         return tuple(
-            RateLimitReport(named=named, rate=limit.rate, age=max(0.0, now - limit.at))
-            for named, limit in self._limits.items()
+            RateLimitReport(named=incarnation, rate=limit.rate, age=max(0.0, now - limit.at))
+            for incarnation, limit in self._limits.items()
             if limit.rate is not None
         )
 
-    def find_report(self, named: TargetIncarnation, now: float) -> RateLimitReport:
+    def find_report(self, incarnation: TargetIncarnation, now: float) -> RateLimitReport:
         """Return the limit of a target, as reported to other boxes."""
-        limit = self._limits.get(named)
+        limit = self._limits.get(incarnation)
         if limit is None:
-            return RateLimitReport(named=named, rate=None)
-        return RateLimitReport(named=named, rate=limit.rate, age=max(0.0, now - limit.at))
+            return RateLimitReport(named=incarnation, rate=None)
+        return RateLimitReport(named=incarnation, rate=limit.rate, age=max(0.0, now - limit.at))
 
     def retain_only(self, known: Collection[TargetIncarnation], now: float) -> None:
         """Drop incarnations that control no longer lists, and limits that ended long ago.
@@ -90,7 +90,7 @@
             known: the incarnations to keep.
             now: the time by the box's clock.
         """
-        for named, limit in list(self._limits.items()):
+        for incarnation, limit in list(self._limits.items()):
             is_old = limit.rate is None and now - limit.at > TOMBSTONE_SECONDS
-            if named not in known or is_old:
-                del self._limits[named]
+            if incarnation not in known or is_old:
+                del self._limits[incarnation]
--- a/packages/damsonlane/src/damsonlane/ratelimit/tests/replay.py
+++ b/packages/damsonlane/src/damsonlane/ratelimit/tests/replay.py
@@ -135,8 +135,8 @@
     def find_send_time(self, box: int, now: float) -> float | None:
         issuer, share = self._find_issuer(now)
         self.outcome.messages += 2
-        order = PermitRequest(number=1, targets=(TARGET,))
-        permit = self._issuers[issuer].issue("s", order, share, now + LATENCY_SECONDS)
+        request = PermitRequest(number=1, targets=(TARGET,))
+        permit = self._issuers[issuer].issue("s", request, share, now + LATENCY_SECONDS)
         return now + 2 * LATENCY_SECONDS if permit.target else None
 
     def _find_issuer(self, now: float) -> tuple[int, float]:
@@ -149,9 +149,9 @@
         return 1, 1.0
 
     def _make_issuer(self) -> PermitIssuer:
-        book = RateLimitTable()
-        book.record(RateLimitReport(named=TARGET, rate=self.load.rate), 0.0)
-        return PermitIssuer(book)
+        table = RateLimitTable()
+        table.record(RateLimitReport(named=TARGET, rate=self.load.rate), 0.0)
+        return PermitIssuer(table)
 
 
 class Leases(Permits):
@@ -167,8 +167,8 @@
             self.outcome.messages += 2
             issuer, share = self._find_issuer(now)
             for _ in range(max(1, int(0.5 * self.load.rate))):
-                order = PermitRequest(number=1, targets=(TARGET,))
-                if not self._issuers[issuer].issue("s", order, share, now).target:
+                request = PermitRequest(number=1, targets=(TARGET,))
+                if not self._issuers[issuer].issue("s", request, share, now).target:
                     break
                 leases.append(now + 0.5)
         self._leases[box] = leases[1:]
--- a/packages/damsonlane/src/damsonlane/ratelimit/tests/test_issuer.py
+++ b/packages/damsonlane/src/damsonlane/ratelimit/tests/test_issuer.py
@@ -51,17 +51,17 @@
 
 class PermitIssuerTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.book = RateLimitTable()
-        self.issuer = PermitIssuer(self.book)
+        self.table = RateLimitTable()
+        self.issuer = PermitIssuer(self.table)
 
     def announce(
-        self, rate: float | None, now: float = 0.0, named: TargetIncarnation = DESK
+        self, rate: float | None, now: float = 0.0, incarnation: TargetIncarnation = DESK
     ) -> None:
-        self.book.record(RateLimitReport(named=named, rate=rate), now)
-        self.issuer.wait_seconds(named, 1.0, now)
+        self.table.record(RateLimitReport(named=incarnation, rate=rate), now)
+        self.issuer.wait_seconds(incarnation, 1.0, now)
 
-    def count(self, times: Sequence[float], named: TargetIncarnation = DESK) -> int:
-        return sum(self.issuer.try_acquire(named, 1.0, at) for at in times)
+    def count(self, times: Sequence[float], incarnation: TargetIncarnation = DESK) -> int:
+        return sum(self.issuer.try_acquire(incarnation, 1.0, at) for at in times)
 
     def test_rates_below_the_minimum_and_above_the_maximum(self) -> None:
         many = [step / 100 for step in range(10_000)]
@@ -95,30 +95,30 @@
 
     def test_the_permit_is_for_the_first_target_that_has_a_token(self) -> None:
         self.announce(1.0)
-        self.announce(1.0, named=OTHER)
-        order = PermitRequest(number=3, targets=(DESK, OTHER))
-        targets = [self.issuer.issue("s", order, 1.0, 1.0).target for _ in range(3)]
+        self.announce(1.0, incarnation=OTHER)
+        request = PermitRequest(number=3, targets=(DESK, OTHER))
+        targets = [self.issuer.issue("s", request, 1.0, 1.0).target for _ in range(3)]
         self.assertEqual(targets, ["d1", "d2", ""])
-        denied = self.issuer.issue("s", order, 1.0, 1.0)
+        denied = self.issuer.issue("s", request, 1.0, 1.0)
         self.assertEqual(denied.number, 3)
         self.assertGreater(denied.wait_seconds, 0.0)
 
     def test_refused_callers_retry_one_after_the_other(self) -> None:
         """If all retried at the same time, all but one would be refused again."""
         self.announce(2.0)
-        order = PermitRequest(number=1, targets=(DESK,), is_last=True)
-        retries = [self.issuer.issue("s", order, 1.0, 0.0).return_seconds for _ in range(4)]
+        request = PermitRequest(number=1, targets=(DESK,), is_last=True)
+        retries = [self.issuer.issue("s", request, 1.0, 0.0).return_seconds for _ in range(4)]
         self.assertEqual([round(retry_after, 3) for retry_after in retries], [0.5, 1.0, 1.5, 2.0])
-        self.assertEqual(self.issuer.issue("s", order, 1.0, 60.0).target, "d1")
+        self.assertEqual(self.issuer.issue("s", request, 1.0, 60.0).target, "d1")
 
     def test_as_many_requests_are_admitted_as_can_be_sent(self) -> None:
         self.announce(1.0)
-        self.announce(1.0, named=OTHER)
-        order = PermitRequest(number=1, targets=(DESK, OTHER), is_beginning=True, is_last=True)
+        self.announce(1.0, incarnation=OTHER)
+        request = PermitRequest(number=1, targets=(DESK, OTHER), is_beginning=True, is_last=True)
         times = [step / 10 for step in range(100)]
-        admitted = [at for at in times if self.issuer.issue("s", order, 1.0, at).may_begin]
+        admitted = [at for at in times if self.issuer.issue("s", request, 1.0, at).may_begin]
         self.assertAlmostEqual(len(admitted), 20, delta=2)
-        denied = self.issuer.issue("s", order, 1.0, 9.9)
+        denied = self.issuer.issue("s", request, 1.0, 9.9)
         self.assertGreater(denied.return_seconds, 0.0)
 
     def test_removed_targets_lose_their_buckets(self) -> None:
@@ -141,9 +141,9 @@
     ) -> None:
         issuers = []
         for _ in range(3):
-            book = RateLimitTable()
-            book.record(RateLimitReport(named=DESK, rate=rate), 0.0)
-            issuers.append(PermitIssuer(book))
+            table = RateLimitTable()
+            table.record(RateLimitReport(named=DESK, rate=rate), 0.0)
+            issuers.append(PermitIssuer(table))
         times: list[float] = []
         now = 0.0
         for gap, box in zip(gaps, boxes, strict=False):
--- a/packages/damsonlane/src/damsonlane/ratelimit/tests/test_registry.py
+++ b/packages/damsonlane/src/damsonlane/ratelimit/tests/test_registry.py
@@ -27,9 +27,9 @@
 )
 
 
-def make_command(*words: tuple[TargetIncarnation, float | None]) -> RecordRateLimits:
+def make_command(*reports: tuple[TargetIncarnation, float | None]) -> RecordRateLimits:
     return RecordRateLimits(
-        words=tuple(RateLimitReport(named=named, rate=rate) for named, rate in words)
+        words=tuple(RateLimitReport(named=incarnation, rate=rate) for incarnation, rate in reports)
     )
 
 
@@ -53,21 +53,21 @@
         self.assertEqual(self.registry.list_all().words, ())
 
     def test_only_new_ended_and_much_changed_limits_are_reported(self) -> None:
-        book = RateLimitTable()
+        table = RateLimitTable()
         listed = self.registry.list_all()
-        self.assertEqual(list_unreported(book, listed, 0.0), ())
-        book.record(RateLimitReport(named=DESK, rate=1.0), 0.0)
-        self.assertEqual([report.rate for report in list_unreported(book, listed, 0.0)], [1.0])
+        self.assertEqual(list_unreported(table, listed, 0.0), ())
+        table.record(RateLimitReport(named=DESK, rate=1.0), 0.0)
+        self.assertEqual([report.rate for report in list_unreported(table, listed, 0.0)], [1.0])
         self.registry.apply(make_command((DESK, 1.0), (PIPELINE, 3.0)))
         listed = self.registry.list_all()
         # Small changes are not reported, nor are limits that this table does not know.
-        book.record(RateLimitReport(named=DESK, rate=1.4), 1.0)
-        self.assertEqual(list_unreported(book, listed, 1.0), ())
-        book.record(RateLimitReport(named=DESK, rate=0.5), 2.0)
-        self.assertEqual([report.rate for report in list_unreported(book, listed, 2.0)], [0.5])
-        book.record(RateLimitReport(named=DESK, rate=None), 3.0)
+        table.record(RateLimitReport(named=DESK, rate=1.4), 1.0)
+        self.assertEqual(list_unreported(table, listed, 1.0), ())
+        table.record(RateLimitReport(named=DESK, rate=0.5), 2.0)
+        self.assertEqual([report.rate for report in list_unreported(table, listed, 2.0)], [0.5])
+        table.record(RateLimitReport(named=DESK, rate=None), 3.0)
         self.assertEqual(
-            list_unreported(book, listed, 3.0), (RateLimitReport(named=DESK, rate=None),)
+            list_unreported(table, listed, 3.0), (RateLimitReport(named=DESK, rate=None),)
         )
 
 
