--- a/packages/damsonlane/src/damsonlane/routing/_partition.py
+++ b/packages/damsonlane/src/damsonlane/routing/_partition.py
@@ -56,27 +56,27 @@
         self._all = self._all * decay + tokens
         self._long = self._long * decay + (tokens if _is_long(tokens) else 0)
 
-    def find_engines(self, tokens: int, places: tuple[EngineLocation, ...]) -> frozenset[str]:
+    def find_engines(self, tokens: int, locations: tuple[EngineLocation, ...]) -> frozenset[str]:
         """Return the engines for a prompt.
 
         Args:
             tokens: length of the prompt; 0 if unknown.
-            places: all engines of the service.
+            locations: all engines of the service.
 
         Returns:
             Names of the engines; all of them if the length is unknown or other prompts are rare.
         """
         long_share = self._long / self._all
         other_share = 1.0 - long_share if _is_long(tokens) else long_share
-        if len(places) < 2 or tokens <= 0 or other_share < MIN_SHARE:
-            return frozenset(place.target for place in places)
-        count = round(long_share * len(places))
-        count = min(len(places) - 1, max(1, count))
-        if places != self._engines:
-            self._engines, self._interleaved = places, _interleave(places)
+        if len(locations) < 2 or tokens <= 0 or other_share < MIN_SHARE:
+            return frozenset(location.target for location in locations)
+        count = round(long_share * len(locations))
+        count = min(len(locations) - 1, max(1, count))
+        if locations != self._engines:
+            self._engines, self._interleaved = locations, _interleave(locations)
         interleaved = self._interleaved
         chosen = interleaved[:count] if _is_long(tokens) else interleaved[count:]
-        return frozenset(place.target for place in chosen)
+        return frozenset(location.target for location in chosen)
 
 
 def _is_long(tokens: int) -> bool:
@@ -84,17 +84,17 @@
     return tokens >= LONG_PROMPT_TOKENS
 
 
-def _interleave(places: Sequence[EngineLocation]) -> list[EngineLocation]:
+def _interleave(locations: Sequence[EngineLocation]) -> list[EngineLocation]:
     """Return the engines in an order that alternates between data centres."""
     by_centre: dict[str, list[EngineLocation]] = {}
-    for place in sorted(places, key=lambda place: _hash(place.target)):
-        by_centre.setdefault(place.data_centre, []).append(place)
+    for location in sorted(locations, key=lambda location: _hash(location.target)):
+        by_centre.setdefault(location.data_centre, []).append(location)
     positions = {
-        place.target: (position, _hash(place.data_centre))
+        location.target: (position, _hash(location.data_centre))
         for engines in by_centre.values()
-        for position, place in enumerate(engines)
+        for position, location in enumerate(engines)
     }
-    return sorted(places, key=lambda place: positions[place.target])
+    return sorted(locations, key=lambda location: positions[location.target])
 
 
 def _hash(text: str) -> bytes:
--- a/packages/damsonlane/src/damsonlane/routing/_table.py
+++ b/packages/damsonlane/src/damsonlane/routing/_table.py
@@ -66,8 +66,8 @@
 class _TargetState:
     """Load and health of one target."""
 
-    def __init__(self, standing: TargetLocation) -> None:
-        self.standing = standing
+    def __init__(self, location: TargetLocation) -> None:
+        self.location = location
         self.in_flight = 0
         self.others = 0.0
         self.reported_at = 0.0
@@ -82,7 +82,7 @@
         decay = _decay(now - self.measured_at, SLOWNESS_HALF_LIFE)
         return TargetView(
             name=name,
-            data_centre=self.standing.data_centre,
+            data_centre=self.location.data_centre,
             in_flight=self.in_flight,
             others=self.others * _decay(now - self.reported_at, REPORT_HALF_LIFE),
             slots=self.slots,
@@ -102,20 +102,20 @@
     def __init__(self) -> None:
         self._records: dict[str, _TargetState] = {}
 
-    def update(self, standings: Mapping[str, TargetLocation]) -> None:
+    def update(self, locations: Mapping[str, TargetLocation]) -> None:
         """Replace the set of targets; the state of those that are not in it is dropped."""
-        for name, standing in standings.items():
+        for name, location in locations.items():
             known = self._records.get(name)
-            if known is None or not _is_same_incarnation(known.standing, standing):
-                self._records[name] = _TargetState(standing)
+            if known is None or not _is_same_incarnation(known.location, location):
+                self._records[name] = _TargetState(location)
             else:
-                known.standing = standing
-        for gone in set(self._records) - set(standings):
+                known.location = location
+        for gone in set(self._records) - set(locations):
             del self._records[gone]
 
     def locations(self) -> Mapping[str, TargetLocation]:
         """Return address, data centre and incarnation of all targets, by name."""
-        return {name: record.standing for name, record in self._records.items()}
+        return {name: record.location for name, record in self._records.items()}
 
     def choose(
         self,
@@ -199,7 +199,7 @@
                 current one.
         """
         record = self._records.get(target)
-        if record is None or start not in (None, record.standing.start):
+        if record is None or start not in (None, record.location.start):
             return
         record.in_flight = max(0, record.in_flight - 1)
         if report is not None:
@@ -246,8 +246,8 @@
 
 
 def _make_choice(name: str, record: _TargetState) -> TargetChoice:
-    standing = record.standing
-    return TargetChoice(target=name, address=standing.address, start=standing.start)
+    location = record.location
+    return TargetChoice(target=name, address=location.address, start=location.start)
 
 
 def _is_same_incarnation(known: TargetLocation, update: TargetLocation) -> bool:
