--- a/packages/damsonlane/src/damsonlane/consensus/tests/machine.py
+++ b/packages/damsonlane/src/damsonlane/consensus/tests/machine.py
@@ -9,13 +9,13 @@
 from damsonlane.consensus.tests.group import ELECTION_SECONDS, Box, Disk, Fault, Group
 
 #: Maximum number of attempts to send a change after all faults are healed.
-_MOST_RESENDS = 20
+_MAX_RESENDS = 20
 #: Selects one of a list of candidates, by the remainder.
 PICK = st.integers(min_value=0, max_value=1000)
 
 
 class GroupMachine(RuleBasedStateMachine):
-    """Drives a group; subclasses say which fault is planted."""
+    """Drives a group of replicas; subclasses say which fault is injected."""
 
     fault = Fault.NONE
 
@@ -68,9 +68,9 @@
 
     @rule(is_racing=st.booleans(), pick=PICK)
     def propose(self, is_racing: bool, pick: int) -> None:
-        """Propose at the leader, or at any box that still believes it leads."""
+        """Propose at a box that believes it is the leader; a replaced one may still do so."""
         self.changes += 1
-        for box in self._believers(pick):
+        for box in self._list_believed_leaders(pick):
             expected = box.state.settings.version
             self.group.propose(box.name, f"change-{self.changes}", expected)
             if is_racing:
@@ -81,15 +81,15 @@
     @rule(pick=PICK, which=PICK)
     def resend(self, pick: int, which: int) -> None:
         change = f"change-{1 + which % self.changes}"
-        for box in self._believers(pick):
+        for box in self._list_believed_leaders(pick):
             self.group.propose(box.name, change, box.state.settings.version)
 
     @rule(pick=PICK)
     def read(self, pick: int) -> None:
-        for box in self._believers(pick):
+        for box in self._list_believed_leaders(pick):
             self.group.read(box.name)
 
-    def _believers(self, pick: int) -> list[Box]:
+    def _list_believed_leaders(self, pick: int) -> list[Box]:
         found = [
             box
             for box in self.group.boxes.values()
@@ -136,7 +136,7 @@
 
     @rule(pick=PICK)
     def isolate(self, pick: int) -> None:
-        """Cut a box off; half of the time it is the leader."""
+        """Cut all links of a box; half of the time it is the leader."""
         leader = self.group.leader()
         box = leader if leader is not None and pick % 2 else self._box(pick)
         for other in self.group.boxes:
@@ -153,18 +153,18 @@
     @precondition(lambda self: self.lost < (self.size - 1) // 2)
     @rule(pick=PICK)
     def lose_disk(self, pick: int) -> None:
-        """Empty a folder; its box comes back under a new name and waits to be admitted."""
+        """Erase the disk of a box; it restarts under a new name and waits to be admitted."""
         box = self._box(pick)
         self.lost += 1
         if self.fault is Fault.EMPTY_FOLDER_VOTES:
-            self._come_back_under_old_name(box)
+            self._restart_under_old_name(box)
             return
         del self.group.boxes[box.name]
         self.incarnations += 1
         name = f"{box.name}+{self.incarnations}"
         self.group.boxes[name] = Box(self.group, name)
 
-    def _come_back_under_old_name(self, box: Box) -> None:
+    def _restart_under_old_name(self, box: Box) -> None:
         members = Members(
             voters=tuple(
                 Member(replica=f"box-{number}", address=f"box-{number}")
@@ -177,9 +177,11 @@
 
     # Sequences that single rules rarely produce.
 
-    @rule(pick=PICK, reach=st.integers(0, 2), is_member_change=st.booleans())
-    def leader_reaches_few(self, pick: int, reach: int, is_member_change: bool) -> None:
-        """A leader writes an entry, reaches a few replicas with it and dies."""
+    @rule(pick=PICK, count=st.integers(0, 2), is_member_change=st.booleans())
+    def crash_leader_after_partial_replication(
+        self, pick: int, count: int, is_member_change: bool
+    ) -> None:
+        """A leader appends an entry, replicates it to a few replicas and crashes."""
         leader = self.group.leader()
         if leader is None:
             return
@@ -191,14 +193,14 @@
         names = sorted({envelope.receiver for envelope in self.group.flying})
         names = names[pick % (len(names) or 1) :] + names[: pick % (len(names) or 1)]
         for envelope in list(self.group.flying):
-            if envelope.receiver in names[:reach]:
+            if envelope.receiver in names[:count]:
                 self.group.deliver(envelope)
         self.group.flying.clear()
         leader.crash()
 
     @rule(pick=PICK, rounds=st.integers(2, 6))
     def campaign(self, pick: int, rounds: int) -> None:
-        """One replica runs for leader; all messages arrive for a few rounds."""
+        """One replica starts an election; all messages arrive for a few rounds."""
         box = self._box(pick)
         for other in self.group.boxes.values():
             if other.replica is None and other is not box:
@@ -215,8 +217,8 @@
         self.group.flying.clear()
 
     @rule()
-    def usurp(self) -> None:
-        """A leader freezes; another is elected and accepts a change; the first thaws."""
+    def replace_frozen_leader(self) -> None:
+        """A leader freezes; another is elected and accepts a change; the first one resumes."""
         old = self.group.leader()
         if old is None:
             return
@@ -230,7 +232,7 @@
 
     @rule(pick=PICK)
     def admit(self, pick: int) -> None:
-        for box in self._believers(pick):
+        for box in self._list_believed_leaders(pick):
             members = self._members(box)
             outside = [name for name in sorted(self.group.boxes) if name not in members]
             if outside:
@@ -243,7 +245,7 @@
 
     @rule(pick=PICK, which=PICK)
     def dismiss(self, pick: int, which: int) -> None:
-        for box in self._believers(pick):
+        for box in self._list_believed_leaders(pick):
             members = self._members(box)
             if len(members) > 2:
                 name = members[which % len(members)]
@@ -259,12 +261,12 @@
     # Invariants.
 
     @invariant()
-    def promises_hold(self) -> None:
+    def guarantees_hold(self) -> None:
         if hasattr(self, "group"):
             self.group.check()
 
     def teardown(self) -> None:
-        """Heal everything: a group whose voters are all there must accept a change again."""
+        """Heal all faults: a group that has a quorum must then accept a change."""
         if not hasattr(self, "group"):
             return
         group = self.group
@@ -280,9 +282,9 @@
         group.check()
 
     def _require_acceptance(self) -> None:
-        """Send one change until it is answered, as an operator's command would."""
+        """Propose one change until it is answered, as an operator's command would."""
         group = self.group
-        for _ in range(_MOST_RESENDS):
+        for _ in range(_MAX_RESENDS):
             group.settle(20, until=lambda: group.leader() is not None)
             leader = group.leader()
             if leader is not None:
@@ -291,10 +293,10 @@
             if "last" in group.answers:
                 group.read(leader.name if leader else "")
                 return
-        raise AssertionError("no change is answered after everything healed")
+        raise AssertionError("no change is answered after all faults are healed")
 
     def _can_reach_quorum(self) -> bool:
-        """Tell whether every group that any box believes in has a quorum that still exists."""
+        """Return whether a quorum of the voters that each box knows still exists."""
         for box in self.group.boxes.values():
             replica = box.replica
             if replica is None or not replica.members.voters:
--- a/packages/damsonlane/src/damsonlane/consensus/tests/repair_machine.py
+++ b/packages/damsonlane/src/damsonlane/consensus/tests/repair_machine.py
@@ -1,4 +1,4 @@
-"""Hypothesis state machine of a group that founds and repairs itself without an operator."""
+"""Hypothesis state machine of a group that bootstraps and repairs itself without an operator."""
 
 from typing import Any
 
@@ -24,14 +24,14 @@
 from damsonlane.consensus.tests.machine import PICK, GroupMachine, find_address
 
 #: Repair rounds after which all boxes of a healed group must be voters again.
-_MOST_REPAIRS = 80
+_MAX_REPAIR_ROUNDS = 80
 
 
 class RepairMachine(GroupMachine):
-    """Drives boxes that look after their group as the control boxes do.
+    """Drives boxes that repair their group as the control boxes do.
 
-    Disks are lost and boxes replaced, at most as many at once as the group must
-    bear; a repair that is over gives the whole allowance back.
+    Disks are lost and boxes replaced, at most as many at once as the group must tolerate.  Once
+    the group is fully repaired, as many may be lost again.
     """
 
     def __init__(self) -> None:
@@ -41,52 +41,54 @@
 
     @initialize(size=st.sampled_from([3, 5]), seed=st.integers(0, 2**16))
     def found(self, size: int, seed: int) -> None:
-        """Start all boxes with empty disks; the least of the seeds founds a group of one."""
+        """Start all boxes with empty disks; the lowest seed bootstraps a group of one."""
         super().found(size, seed)
         names = sorted(self.group.boxes)
         for name in names:
             is_founder = may_bootstrap_group(name, names[:3], is_first_start=True)
-            self.group.boxes[name] = Box(self.group, name, _found(name) if is_founder else None)
-        for _ in range(_MOST_REPAIRS):
+            self.group.boxes[name] = Box(
+                self.group, name, _make_founder_state(name) if is_founder else None
+            )
+        for _ in range(_MAX_REPAIR_ROUNDS):
             self._repair_once()
-            if self._is_whole():
+            if self._is_fully_repaired():
                 break
 
     # Actions of the boxes.
 
     @rule(pick=PICK, which=PICK)
     def ask(self, pick: int, which: int) -> None:
-        """One box asks one that believes it leads where it stands."""
-        for leader in self._believers(which):
+        """One box asks a box that believes it is the leader whether it is a member."""
+        for leader in self._list_believed_leaders(which):
             self._ask(self._box(pick), leader)
 
     @rule(pick=PICK)
-    def look(self, pick: int) -> None:
-        """One that believes it leads removes whom it must."""
-        for leader in self._believers(pick):
-            self._remove_gone(leader)
+    def remove_silent_member(self, pick: int) -> None:
+        """A box that believes it is the leader removes a silent member that is not needed."""
+        for leader in self._list_believed_leaders(pick):
+            self._remove_silent_member(leader)
 
     @rule(rounds=st.integers(1, 6))
     def repair(self, rounds: int) -> None:
-        """All boxes do so for a while."""
+        """For some rounds, all boxes ask the leader, and it removes a silent member."""
         for _ in range(rounds):
             self._repair_once()
-        if self._is_whole():
+        if self._is_fully_repaired():
             self.lost = 0
 
     # Lost disks and replaced boxes.
 
-    @precondition(lambda self: self._may_lose())
+    @precondition(lambda self: self._may_lose_box())
     @rule(pick=PICK)
     def lose_disk(self, pick: int) -> None:
-        """A box comes back at its address with an empty disk."""
-        self._start_anew(self._box(pick))
+        """A box restarts at its address with an empty disk."""
+        self._restart_as_new_replica(self._box(pick))
         self.lost += 1
 
-    @precondition(lambda self: self._may_lose())
+    @precondition(lambda self: self._may_lose_box())
     @rule(pick=PICK)
     def replace(self, pick: int) -> None:
-        """A box is gone for good; another one comes at another address."""
+        """A box is lost permanently; another one starts at another address."""
         del self.group.boxes[self._box(pick).name]
         self.replaced += 1
         self.lost += 1
@@ -94,20 +96,20 @@
         self.group.boxes[name] = Box(self.group, name)
 
     def admit(self, pick: int) -> None:
-        """No operator admits anybody here."""
+        """Do nothing: no operator admits boxes here."""
 
     def dismiss(self, pick: int, which: int) -> None:
-        """No operator removes anybody here."""
+        """Do nothing: no operator removes boxes here."""
 
     # Helpers.
 
-    def _may_lose(self) -> bool:
-        if self.lost == 0 and not self._is_whole():
+    def _may_lose_box(self) -> bool:
+        if self.lost == 0 and not self._is_fully_repaired():
             return False
         return self.lost < (self.size - 1) // 2
 
-    def _is_whole(self) -> bool:
-        """Tell whether all boxes vote and hold everything that was committed."""
+    def _is_fully_repaired(self) -> bool:
+        """Return whether all boxes are voters and hold all committed entries."""
         leader = self.group.leader()
         replica = leader.replica if leader is not None else None
         if leader is None or replica is None:
@@ -124,41 +126,41 @@
             for name in sorted(self.group.boxes):
                 if name in self.group.boxes:
                     self._ask(self.group.boxes[name], leader)
-            self._remove_gone(leader)
+            self._remove_silent_member(leader)
         self.group.settle(4)
 
     def _ask(self, box: Box, leader: Box) -> None:
-        """Ask as the boxes do: those that know no leader, or are in no group."""
-        replica, judge = box.replica, leader.replica
-        if replica is None or judge is None or not judge.is_leader or not box.is_up():
+        """Ask the leader as boxes do that know of none, or are in no group."""
+        replica, leading = box.replica, leader.replica
+        if replica is None or leading is None or not leading.is_leader or not box.is_up():
             return
         if replica.leader and replica.members.voters:
             return
         if {(box.name, leader.name), (leader.name, box.name)} & self.group.cuts:
             return
-        if judge.state_age(leader.clock) == float("inf"):
+        if leading.state_age(leader.clock) == float("inf"):
             return
-        verdict = evaluate_candidate(judge.members, _apply(box, replica))
-        if verdict.change is not None:
-            self._change(leader, verdict.change)
-        elif verdict.was_removed:
-            self._tell_outsider(box, leader)
+        decision = evaluate_candidate(leading.members, _make_candidate(box, replica))
+        if decision.change is not None:
+            self._change(leader, decision.change)
+        elif decision.was_removed:
+            self._report_removal(box, leader)
 
-    def _tell_outsider(self, box: Box, leader: Box) -> None:
+    def _report_removal(self, box: Box, leader: Box) -> None:
         if self.fault is Fault.OUTSIDER_AT_ONCE:
-            self._start_anew(box)
+            self._restart_as_new_replica(box)
             return
 
-        def tell() -> None:
-            replica, judge = box.replica, leader.replica
-            if replica is None or judge is None or not can_confirm_removal(judge):
+        def report() -> None:
+            replica, leading = box.replica, leader.replica
+            if replica is None or leading is None or not can_confirm_removal(leading):
                 return
-            if evaluate_candidate(judge.members, _apply(box, replica)).was_removed:
-                self._start_anew(box)
+            if evaluate_candidate(leading.members, _make_candidate(box, replica)).was_removed:
+                self._restart_as_new_replica(box)
 
-        self.group.read(leader.name, tell)
+        self.group.read(leader.name, report)
 
-    def _remove_gone(self, leader: Box) -> None:
+    def _remove_silent_member(self, leader: Box) -> None:
         replica = leader.replica
         if replica is None or not replica.is_leader:
             return
@@ -178,7 +180,7 @@
                 leader.name, lambda replica, now: replica.add_learner(now, member)
             )
 
-    def _start_anew(self, box: Box) -> None:
+    def _restart_as_new_replica(self, box: Box) -> None:
         if self.group.boxes.pop(box.name, None) is None:
             return
         self.incarnations += 1
@@ -188,21 +190,21 @@
     # Invariants.
 
     def teardown(self) -> None:
-        """Heal everything: the group must become whole and accept a change."""
+        """Heal all faults: the group must be fully repaired and accept a change."""
         super().teardown()
         if not hasattr(self, "group"):
             return
-        for _ in range(_MOST_REPAIRS):
-            if self._is_whole():
+        for _ in range(_MAX_REPAIR_ROUNDS):
+            if self._is_fully_repaired():
                 break
             self._repair_once()
-        assert self._is_whole(), f"the group is not whole again: {self._describe()}"
+        assert self._is_fully_repaired(), f"the group is not fully repaired: {self._describe()}"
         self._require_acceptance()
         self.group.settle(40)
         self.group.check()
 
     def _can_reach_quorum(self) -> bool:
-        """The group must do so after any loss that it has to bear, so nothing is asked first."""
+        """Return False: acceptance is required after the repair instead, and unconditionally."""
         return False
 
     def _describe(self) -> str:
@@ -211,14 +213,14 @@
         return f"boxes {sorted(self.group.boxes)}, members {replica.members if replica else None}"
 
 
-def _found(name: str) -> PersistentState:
-    """Return the persistent state of a box that founded a group of one."""
+def _make_founder_state(name: str) -> PersistentState:
+    """Return the persistent state of a box that bootstrapped a group of one."""
     member = Member(replica=name, address=name)
     snapshot = Snapshot(index=1, term=1, members=Members(voters=(member,)), state="")
     return PersistentState(hard_state=HardState(term=1), snapshot=snapshot)
 
 
-def _apply(box: Box, replica: Replica) -> JoinCandidate:
+def _make_candidate(box: Box, replica: Replica) -> JoinCandidate:
     cluster = CLUSTER if replica.members.all_members() else ""
     return JoinCandidate(replica=box.name, address=find_address(box.name), cluster=cluster)
 
--- a/packages/damsonlane/src/damsonlane/consensus/tests/test_repair.py
+++ b/packages/damsonlane/src/damsonlane/consensus/tests/test_repair.py
@@ -129,10 +129,10 @@
     for name in (leader.name, other.name):
         group.cuts |= {(silent.name, name), (name, silent.name)}
     group.settle(int(16 * SILENCE_SECONDS / ELECTION_SECONDS))
-    machine._remove_gone(leader)
+    machine._remove_silent_member(leader)
     group.settle(20)
     group.cuts.clear()
-    machine._start_anew(other)
+    machine._restart_as_new_replica(other)
 
 
 def _report_removal_that_is_undone(machine: RepairMachine) -> None:
--- a/packages/damsonlane/src/damsonlane/requests/tests/machine.py
+++ b/packages/damsonlane/src/damsonlane/requests/tests/machine.py
@@ -1,4 +1,4 @@
-"""Hypothesis state machine: requests with failing targets and a failing ledger."""
+"""Hypothesis state machine that drives requests with failing targets and a failing ledger."""
 
 from typing import Any
 
@@ -29,7 +29,7 @@
 
 # Hypothesis derives the examples of derandomized tests from the source of this class.
 class RequestMachine(RuleBasedStateMachine):
-    """Drives handlings; subclasses say which fault is planted."""
+    """Drives the handling of requests; subclasses say which fault is injected."""
 
     fault = Fault.NONE
 
@@ -45,37 +45,37 @@
     def begin(self, organisation: str, key: str, text: str) -> None:
         self.world.begin(organisation, key, text)
 
-    def _waiting(self, effect: type) -> list[Handling]:
+    def _list_waiting(self, effect: type) -> list[Handling]:
         return [
             handling
             for handling in self.world.open_handlings()
             if isinstance(handling.effect, effect)
         ]
 
-    @precondition(lambda self: self._waiting(CommitToLedger))
+    @precondition(lambda self: self._list_waiting(CommitToLedger))
     @rule(pick=_PICK, how=_LEDGER)
     def answer_ledger(self, pick: int, how: str) -> None:
-        waiting = self._waiting(CommitToLedger)
+        waiting = self._list_waiting(CommitToLedger)
         self.world.answer_ledger(waiting[pick % len(waiting)], how)
 
     @precondition(lambda self: self.world.doubtful)
     @rule(pick=_PICK, is_kept=st.booleans())
     def commit_doubtful(self, pick: int, is_kept: bool) -> None:
-        """A command whose sender heard nothing is committed late, perhaps twice."""
+        """A command whose sender got no reply is committed late, perhaps twice."""
         doubtful = self.world.doubtful
         position = pick % len(doubtful)
         self.world.commit(doubtful[position] if is_kept else doubtful.pop(position))
 
-    @precondition(lambda self: self._waiting(Send))
+    @precondition(lambda self: self._list_waiting(Send))
     @rule(pick=_PICK, how=_TARGET)
     def answer_target(self, pick: int, how: str) -> None:
-        waiting = self._waiting(Send)
+        waiting = self._list_waiting(Send)
         self.world.answer_target(waiting[pick % len(waiting)], how)
 
-    @precondition(lambda self: self._waiting(Wait))
+    @precondition(lambda self: self._list_waiting(Wait))
     @rule(pick=_PICK)
     def resume(self, pick: int) -> None:
-        waiting = self._waiting(Wait)
+        waiting = self._list_waiting(Wait)
         self.world.resume(waiting[pick % len(waiting)])
 
     @rule(seconds=st.sampled_from([0.1, 0.6, 2.0]))
@@ -85,14 +85,14 @@
     @precondition(lambda self: self.world.open_handlings())
     @rule(pick=_PICK)
     def lose_entry(self, pick: int) -> None:
-        """The entry of a handling dies."""
+        """The entry of a handling crashes."""
         waiting = self.world.open_handlings()
         self.world.handlings.remove(waiting[pick % len(waiting)])
 
     @precondition(lambda self: self.world.open_handlings())
     @rule(pick=_PICK)
     def finish_one(self, pick: int) -> None:
-        """One handling meets no fault until its end."""
+        """One handling runs to its completion without a fault."""
         waiting = self.world.open_handlings()
         handling = waiting[pick % len(waiting)]
         while handling.ending is None:
@@ -104,7 +104,7 @@
                 self.world.resume(handling)
 
 
-def make_machine(planted: Fault) -> type[RequestMachine]:
+def make_machine(injected: Fault) -> type[RequestMachine]:
     """Return a machine with an injected fault."""
-    namespace: dict[str, Any] = {"fault": planted}
-    return type(f"RequestMachineWith{planted.name.title()}", (RequestMachine,), namespace)
+    namespace: dict[str, Any] = {"fault": injected}
+    return type(f"RequestMachineWith{injected.name.title()}", (RequestMachine,), namespace)
