--- a/packages/damsonlane/src/damsonlane/pools/_batch.py
+++ b/packages/damsonlane/src/damsonlane/pools/_batch.py
@@ -78,7 +78,7 @@
 
 
 def _take(group: list[WaitingPiece], limit: int, memory_bytes: float) -> list[WaitingPiece]:
-    """Return the leading pieces of a group, up to a number and a sum of result sizes."""
+    """Return the leading pieces of a group that fit a number of pieces and some result memory."""
     taken: list[WaitingPiece] = []
     for piece in group[:limit]:
         memory_bytes -= _estimate_size(piece)
--- a/packages/damsonlane/src/damsonlane/pools/_priorities.py
+++ b/packages/damsonlane/src/damsonlane/pools/_priorities.py
@@ -54,7 +54,7 @@
         return (organisation_rank, step * STEP_SHARE - refused / total, step)
 
     def list_before(self, rank: int, ranks: Collection[int]) -> list[int]:
-        """Return those of some ranks that go before a rank."""
+        """Return those of the given ranks that go before a rank."""
         own = self.sort_key(rank)
         return [other for other in ranks if other != rank and self.sort_key(other) < own]
 
--- a/packages/damsonlane/src/damsonlane/pools/_queue.py
+++ b/packages/damsonlane/src/damsonlane/pools/_queue.py
@@ -67,7 +67,7 @@
         return pieces
 
     def estimate_wait(self, now: float, capacity: CallCapacity, order: PieceOrder) -> float:
-        """Return the seconds until a piece like a given one would start if it were added now.
+        """Return the seconds until a piece with this order would start if it were added now.
 
         Only pieces that go before it count: not those that already miss their latency
         objective, nor those whose objective is later.
@@ -155,9 +155,9 @@
         return capacity.throughput_ratio / self._wait_factor(rank, now, capacity)
 
     def _wait_factor(self, rank: int, now: float, capacity: CallCapacity) -> float:
-        """Return by what factor further pieces of higher priority lengthen the wait of a rank.
+        """Return the factor by which later pieces of higher priority lengthen the wait of a rank.
 
-        They are assumed to keep arriving at their recent rate.
+        Such pieces are assumed to keep arriving at their recent rate.
         """
         before = self._priorities.list_before(rank, self._recent_work.ranks())
         share = self._recent_work.rate_of(before, now) / capacity.pieces_per_second
--- a/packages/damsonlane/src/damsonlane/pools/_recent_work.py
+++ b/packages/damsonlane/src/damsonlane/pools/_recent_work.py
@@ -22,11 +22,11 @@
         self._rates[rank] = self._rates.get(rank, 0.0) + 1.0 / DECAY_SECONDS
 
     def ranks(self) -> Collection[int]:
-        """Return the ranks of which pieces were taken."""
+        """Return the ranks that have a recorded rate."""
         return self._rates.keys()
 
     def rate_of(self, ranks: Collection[int], now: float) -> float:
-        """Return the pieces per second that were taken of some ranks."""
+        """Return the sum of the rates of the given ranks, in pieces per second."""
         self._decay(now)
         return sum(self._rates.get(rank, 0.0) for rank in ranks)
 
--- a/packages/damsonlane/src/damsonlane/pools/_schedule.py
+++ b/packages/damsonlane/src/damsonlane/pools/_schedule.py
@@ -47,7 +47,7 @@
 
 
 class Schedule:
-    """Capacity of a pool in its next calls, which stages reserve until none is left in time.
+    """Capacity of a pool in its next calls, which stages reserve in the order they are added.
 
     Args:
         capacity: the capacity of the pool.
--- a/packages/damsonlane/src/damsonlane/pools/tests/test_queue.py
+++ b/packages/damsonlane/src/damsonlane/pools/tests/test_queue.py
@@ -36,7 +36,7 @@
     return WaitingPiece(order=order, sender="e1", deadline_at=due_at, objective_at=aim_at)
 
 
-OFFER = CallCapacity(
+CAPACITY = CallCapacity(
     data_centre="dha",
     result_memory_bytes=1000,
     seconds_until_free={"dha": 0.0, "johar": 0.1, "model-town": 1.0},
@@ -50,7 +50,7 @@
 def select(
     queue: PieceQueue, *, limit: int = 10, result_memory: int = 1000, now: float = 0.0
 ) -> list[int]:
-    selection = queue.select(now, replace(OFFER, batch=limit, result_memory_bytes=result_memory))
+    selection = queue.select(now, replace(CAPACITY, batch=limit, result_memory_bytes=result_memory))
     return [piece.order.number for piece in selection.batch]
 
 
@@ -85,21 +85,21 @@
     def test_rank_decides_what_is_refused(self) -> None:
         for number, rank in ((1, 2), (2, 0), (3, 1)):
             self.queue.add(make_piece(number, aim_at=0.3, rank=rank))
-        selection = self.queue.select(0.0, replace(OFFER, batch=1))
+        selection = self.queue.select(0.0, replace(CAPACITY, batch=1))
         self.assertEqual([piece.order.number for piece in selection.batch], [2])
         self.assertEqual([piece.order.number for piece in selection.late], [3, 1])
 
     def test_pieces_past_their_deadline_are_removed_before_they_run(self) -> None:
         self.queue.add(make_piece(1, due_at=0.2))
         self.queue.add(make_piece(2, due_at=0.3))
-        selection = self.queue.select(0.0, OFFER)
+        selection = self.queue.select(0.0, CAPACITY)
         self.assertEqual([piece.order.number for piece in selection.late], [1])
         self.assertEqual([piece.order.number for piece in selection.batch], [2])
 
     def test_pieces_that_would_be_late_after_others_are_refused_at_once(self) -> None:
         for number in range(5):
             self.queue.add(make_piece(number, aim_at=0.3 + number / 100))
-        selection = self.queue.select(0.0, replace(OFFER, batch=2, busy_seconds=(0.0, 0.0)))
+        selection = self.queue.select(0.0, replace(CAPACITY, batch=2, busy_seconds=(0.0, 0.0)))
         self.assertEqual([piece.order.number for piece in selection.batch], [0, 1])
         self.assertEqual([piece.order.number for piece in selection.late], [4])
 
@@ -112,7 +112,7 @@
                     queue.add(make_piece(number, aim_at=9.0, due_at=20.0))
                 piece = WaitingPiece(order=begun, sender="e1", deadline_at=20.0, objective_at=0.1)
                 queue.add(replace(piece, abandonable_until=give_up_until))
-                selection = queue.select(0.0, replace(OFFER, batch=2))
+                selection = queue.select(0.0, replace(CAPACITY, batch=2))
                 self.assertEqual([piece.order.number for piece in selection.batch], [0, 1])
                 self.assertEqual([piece.order.number for piece in selection.late], late)
 
@@ -127,7 +127,7 @@
                 queue = PieceQueue()
                 queue.add(make_piece(1, aim_at=aim_at))
                 late = queue.take_late(
-                    0.0, replace(OFFER, busy_seconds=(0.0,) * targets, result_memory_bytes=0)
+                    0.0, replace(CAPACITY, busy_seconds=(0.0,) * targets, result_memory_bytes=0)
                 )
                 self.assertEqual([piece.order.number for piece in late], expected)
                 self.assertEqual(len(queue), 1 - len(expected))
@@ -140,7 +140,7 @@
             self.queue.add(
                 WaitingPiece(order=order, sender="e1", deadline_at=20.0, objective_at=0.5)
             )
-        selection = self.queue.select(0.0, replace(OFFER, batch=1, call_seconds=0.4))
+        selection = self.queue.select(0.0, replace(CAPACITY, batch=1, call_seconds=0.4))
         self.assertEqual([piece.order.number for piece in selection.late], [9])
         self.assertEqual([piece.order.number for piece in selection.batch], [8])
 
@@ -149,7 +149,7 @@
             self.queue.add(make_piece(number, aim_at=0.1))
         begun = replace(ORDER, number=9, inputs=("h",))
         self.queue.add(WaitingPiece(order=begun, sender="e1", deadline_at=5.0, objective_at=0.1))
-        selection = self.queue.select(0.0, replace(OFFER, batch=1))
+        selection = self.queue.select(0.0, replace(CAPACITY, batch=1))
         self.assertEqual([piece.order.number for piece in selection.batch], [9])
         self.assertEqual(len(selection.late), 4)
 
@@ -198,7 +198,10 @@
                 WaitingPiece(order=order, sender="e1", deadline_at=20.0, objective_at=0.5)
             )
         capacity = replace(
-            OFFER, batch=1, busy_seconds=(0.0, 0.0), seconds_until_free={"dha": 0.0, "johar": 0.3}
+            CAPACITY,
+            batch=1,
+            busy_seconds=(0.0, 0.0),
+            seconds_until_free={"dha": 0.0, "johar": 0.3},
         )
         taken = [
             piece.order.number for _ in range(3) for piece in self.queue.select(0.0, capacity).batch
@@ -206,7 +209,7 @@
         self.assertEqual(taken, [2, 1, 4])
 
     def test_the_forecast_grows_with_recent_work_of_higher_priority(self) -> None:
-        capacity = replace(OFFER, batch=100)
+        capacity = replace(CAPACITY, batch=100)
         for number in range(100):
             self.queue.add(make_piece(number, aim_at=9.0, due_at=20.0))
         self.assertEqual(len(self.queue.select(0.0, capacity).batch), 100)
@@ -227,23 +230,23 @@
     def test_the_forecast_ignores_late_pieces(self) -> None:
         for number in range(20):
             self.queue.add(make_piece(number, aim_at=0.1 if number < 10 else 9.0))
-        self.assertAlmostEqual(self.queue.estimate_wait(0.0, OFFER, LATEST), 0.3)
+        self.assertAlmostEqual(self.queue.estimate_wait(0.0, CAPACITY, LATEST), 0.3)
 
     def test_the_forecast_ignores_pieces_with_later_objectives(self) -> None:
         for number in range(20):
             self.queue.add(make_piece(number, aim_at=2.0 if number < 5 else 4.0))
         for aim_left, seconds in ((1.0, 0.0), (3.0, 0.15), (5.0, 0.6)):
             with self.subTest(aim_left=aim_left):
-                like = replace(ORDER, aim_left_seconds=aim_left)
-                self.assertAlmostEqual(self.queue.estimate_wait(0.0, OFFER, like), seconds)
+                order = replace(ORDER, aim_left_seconds=aim_left)
+                self.assertAlmostEqual(self.queue.estimate_wait(0.0, CAPACITY, order), seconds)
 
     def test_the_forecast_grows_with_the_queue(self) -> None:
-        self.assertEqual(self.queue.estimate_wait(0.0, OFFER, LATEST), 0.0)
+        self.assertEqual(self.queue.estimate_wait(0.0, CAPACITY, LATEST), 0.0)
         for number in range(20):
             self.queue.add(make_piece(number))
-        self.assertAlmostEqual(self.queue.estimate_wait(0.0, OFFER, LATEST), 0.6)
+        self.assertAlmostEqual(self.queue.estimate_wait(0.0, CAPACITY, LATEST), 0.6)
         self.assertAlmostEqual(
-            self.queue.estimate_wait(0.0, replace(OFFER, busy_seconds=(0.0, 0.0)), LATEST), 0.3
+            self.queue.estimate_wait(0.0, replace(CAPACITY, busy_seconds=(0.0, 0.0)), LATEST), 0.3
         )
 
     def test_a_batch_fits_the_free_result_memory(self) -> None:
@@ -282,7 +285,7 @@
                 queue = PieceQueue()
                 for number in range(1, 5):
                     queue.add(make_piece(number, aim_at=0.5))
-                capacity = replace(OFFER, batch=2, throughput_ratio=share)
+                capacity = replace(CAPACITY, batch=2, throughput_ratio=share)
                 selection = queue.select(0.0, capacity)
                 self.assertEqual([piece.order.number for piece in selection.late], late)
 
@@ -300,35 +303,35 @@
     def test_a_free_target_gets_waiting_pieces_despite_its_rate_limit(self) -> None:
         self.queue.add(make_piece(1))
         for gap in (0.5, 5.0, 20.0):
-            limited = replace(OFFER, batch=1, busy_seconds=(0.0,), call_interval_seconds=(gap,))
+            limited = replace(CAPACITY, batch=1, busy_seconds=(0.0,), call_interval_seconds=(gap,))
             selection = self.queue.select(0.0, limited)
             self.assertEqual(len(selection.batch), 1)
             self.queue.add(make_piece(1))
 
     def test_late_pieces_run_where_a_target_is_free_now(self) -> None:
         self.queue.add(make_piece(1, aim_at=-1.0))
-        limited = replace(OFFER, batch=1, busy_seconds=(0.0,), call_interval_seconds=(20.0,))
+        limited = replace(CAPACITY, batch=1, busy_seconds=(0.0,), call_interval_seconds=(20.0,))
         selection = self.queue.select(0.0, limited)
         self.assertEqual((len(selection.batch), selection.late), (1, ()))
 
     def test_pieces_late_after_the_next_call_are_refused_at_once(self) -> None:
         for number in range(1, 4):
             self.queue.add(make_piece(number))
-        limited = replace(OFFER, batch=1, busy_seconds=(0.1,), call_interval_seconds=(20.0,))
+        limited = replace(CAPACITY, batch=1, busy_seconds=(0.1,), call_interval_seconds=(20.0,))
         self.assertEqual(len(self.queue.take_late(0.0, limited)), 2)
 
     def test_pieces_in_time_with_the_next_call_are_kept(self) -> None:
         """The next call may lie beyond the planning horizon of a pool without rate limits."""
         self.queue.add(make_piece(1, aim_at=10.0, due_at=12.0))
         self.queue.add(make_piece(2, aim_at=3.0))
-        limited = replace(OFFER, batch=1, busy_seconds=(6.0,), call_interval_seconds=(8.0,))
+        limited = replace(CAPACITY, batch=1, busy_seconds=(6.0,), call_interval_seconds=(8.0,))
         late = self.queue.take_late(0.0, limited)
         self.assertEqual([piece.order.number for piece in late], [2])
 
     def test_wait_estimates_include_rate_limits(self) -> None:
         for number in range(1, 4):
             self.queue.add(make_piece(number))
-        unlimited = replace(OFFER, batch=1, busy_seconds=(0.0, 0.0))
+        unlimited = replace(CAPACITY, batch=1, busy_seconds=(0.0, 0.0))
         limited = replace(unlimited, call_interval_seconds=(4.0, 0.0))
         wait = self.queue.estimate_wait(0.0, limited, LATEST)
         self.assertGreater(wait, 1.5 * self.queue.estimate_wait(0.0, unlimited, LATEST))
