--- a/packages/damsonlane/src/damsonlane/ratelimit/_issuer.py
+++ b/packages/damsonlane/src/damsonlane/ratelimit/_issuer.py
@@ -18,7 +18,7 @@
 #: beyond its rate in four seconds.
 MIN_RATE: Final = 0.2
 #: Share of a rate that is issued by a box which does not own the service, to boxes that can't
-#: reach the owner or take another box for it.  The owner and two such boxes stay within what a
+#: reach the owner or mistake another box for it.  The owner and two such boxes stay within what a
 #: target tolerates: in four seconds 4.5 + 2 * 0.15 * 4.5 times its rate, of 6 times.
 NON_OWNER_SHARE: Final = 0.15
 #: Longest time after which a refused caller is asked to retry, in seconds.
@@ -76,7 +76,7 @@
         waits = [self.wait_seconds(incarnation, share, now) for incarnation in request.targets]
         wait = min(waits, default=0.0)
         retry_after = (
-            self._reserve_return(service, request.targets, share, wait, now)
+            self._reserve_retry(service, request.targets, share, wait, now)
             if request.is_last
             else wait
         )
@@ -99,10 +99,10 @@
             self._admitted_until[service] = now + wait + 1.0 / rate
             return Permit(number=request.number, may_begin=True)
         wait -= BURST_SECONDS
-        retry_after = self._reserve_return(service, request.targets, share, wait, now)
+        retry_after = self._reserve_retry(service, request.targets, share, wait, now)
         return Permit(number=request.number, wait_seconds=wait, return_seconds=retry_after)
 
-    def _reserve_return(
+    def _reserve_retry(
         self,
         service: str,
         targets: Sequence[TargetIncarnation],
@@ -110,7 +110,7 @@
         wait: float,
         now: float,
     ) -> float:
-        """Reserve the next free time for a refused caller; return the seconds until then."""
+        """Reserve the next free time for a refused caller to retry; return the seconds until it."""
         rates = [self._find_issued_rate(incarnation, share) for incarnation in targets]
         at = max(now + wait, self._reserved_until.get(service, 0.0))
         at = min(at, now + MAX_RETRY_AFTER_SECONDS)
