--- a/packages/damsonlane/src/damsonlane/routing/_table.py
+++ b/packages/damsonlane/src/damsonlane/routing/_table.py
@@ -110,8 +110,8 @@
                 self._records[name] = _TargetState(location)
             else:
                 known.location = location
-        for gone in set(self._records) - set(locations):
-            del self._records[gone]
+        for removed in set(self._records) - set(locations):
+            del self._records[removed]
 
     def locations(self) -> Mapping[str, TargetLocation]:
         """Return address, data centre and incarnation of all targets, by name."""
