--- a/packages/damsonlane/src/damsonlane/consensus/_followers.py
+++ b/packages/damsonlane/src/damsonlane/consensus/_followers.py
@@ -42,19 +42,19 @@
     def set_members(self, members: Members, own: str, next_index: int, now: float) -> None:
         """Track exactly these members; new ones start at ``next_index``."""
         names = {member.replica for member in members.all_members()} - {own}
-        for gone in set(self._progress) - names:
-            del self._progress[gone]
+        for removed in set(self._progress) - names:
+            del self._progress[removed]
         for name in sorted(names - set(self._progress)):
             self._progress[name] = Progress(next_index=next_index, last_reply_at=now)
 
     def rewind_silent(self, replied_before: float) -> None:
-        """Resend from the matching index to members without a reply since a moment."""
+        """Resend entries after the matching index to members that have not replied since a time."""
         for progress in self._progress.values():
             if progress.last_reply_at < replied_before:
                 progress.next_index = progress.match + 1
 
     def count_responsive(self, members: Members, own: str, since: float) -> int:
-        """Return how many voters have replied since a moment, this replica included."""
+        """Return how many voters have replied since a time, this replica included."""
         return sum(
             1
             for member in members.voters
@@ -62,7 +62,7 @@
         )
 
     def quorum_contact_at(self, members: Members, own: str, now: float) -> float:
-        """Return the latest moment since which a quorum has replied, this replica included."""
+        """Return the latest time since which a quorum has replied, this replica included."""
 
         def last_reply_at(replica: str) -> float:
             return now if replica == own else self._last_reply_at(replica)
--- a/packages/damsonlane/src/damsonlane/consensus/_repair.py
+++ b/packages/damsonlane/src/damsonlane/consensus/_repair.py
@@ -77,7 +77,7 @@
 
 
 def can_confirm_removal(replica: Replica) -> bool:
-    """Return whether a confirmed leader may tell a replica that it was removed.
+    """Return whether a confirmed leader may report to a replica that it was removed.
 
     An uncommitted removal may be undone by another leader, for which the applicant
     is still a voter whose log is needed.
