--- a/packages/damsonlane/src/damsonlane/quarantine/_registry.py
+++ b/packages/damsonlane/src/damsonlane/quarantine/_registry.py
@@ -147,8 +147,8 @@
         self._store(replace(target_exit, runs=_keep_shortest(target_exit.runs)))
         while len(self._exits) > MAX_EXITS:
             exits = list(self._exits.values())
-            held = [request.fingerprint for request in self._list.held]
-            self._remove(exits[find_oldest_removable(exits, held)])
+            quarantined = [request.fingerprint for request in self._list.held]
+            self._remove(exits[find_oldest_removable(exits, quarantined)])
 
     def _store(self, target_exit: TargetExit) -> None:
         """Store an exit, replacing an earlier record of it."""
@@ -208,10 +208,10 @@
         """Build the list from the exits that count."""
         exits_by_request = self._find_candidates()
         causes = attribute_exits(exits_by_request)
-        held = tuple(_quarantine(name, causes[name]) for name in sorted(causes))
+        quarantined = tuple(_quarantine(name, causes[name]) for name in sorted(causes))
         others = {name: exits for name, exits in exits_by_request.items() if name not in causes}
         suspects = list_suspects(others, MAX_SUSPECTS)
-        return QuarantineList(revision=revision, held=held, suspects=suspects)
+        return QuarantineList(revision=revision, held=quarantined, suspects=suspects)
 
     def _find_candidates(self) -> dict[str, ExitsByIdentity]:
         """Return the requests that are part of several exits, each with its exits."""
