--- a/packages/damsonlane/src/damsonlane/costs/_accounts.py
+++ b/packages/damsonlane/src/damsonlane/costs/_accounts.py
@@ -29,9 +29,9 @@
         self,
         totals: Iterable[CostTotal] = (),
         senders: Iterable[SenderProgress] = (),
-        endings: Iterable[CompletionCount] = (),
+        completions: Iterable[CompletionCount] = (),
     ) -> None:
-        self.burn = BurnBuckets(endings)
+        self.burn = BurnBuckets(completions)
         self._totals = {_account(total): total for total in totals}
         self._batches = {progress.sender: progress.batch for progress in senders}
 
