--- a/packages/damsonlane/src/damsonlane/targets/_registry.py
+++ b/packages/damsonlane/src/damsonlane/targets/_registry.py
@@ -15,8 +15,8 @@
 MAX_REMOVED: Final = 512
 
 #: Newer heartbeats after which a target that was replaced at its address is registered again.  A
-#: delayed heartbeat of a dead target replaces the target that has its address now, which goes on
-#: sending heartbeats.  A single heartbeat may itself be a delayed one.
+#: delayed heartbeat of an exited target replaces the running target at the same address, which
+#: keeps sending heartbeats.  A single heartbeat may itself be a delayed one.
 HEARTBEATS_TO_RETURN: Final = 2
 
 
@@ -29,7 +29,7 @@
     #: Revision of the registry at which it was removed.
     revision: int
     #: Number of its last heartbeat, if another target replaced it; None if this incarnation
-    #: was removed for good.
+    #: was removed permanently.
     sequence: int | None = None
     #: Its start; None while no heartbeat has reported it.
     start: int | None = None
@@ -82,7 +82,7 @@
         start = snapshot or TargetsSnapshot()
         self.revision = start.revision
         self._known = {known.record.target: known for known in start.known}
-        self._removed = {gone.target: gone for gone in start.gone}
+        self._removed = {removed.target: removed for removed in start.gone}
         self._forgotten_revision = start.forgotten_revision
 
     def snapshot(self) -> TargetsSnapshot:
@@ -104,9 +104,9 @@
         return known.record if known else None
 
     def is_removed(self, target: str) -> bool:
-        """Return whether a target was removed for good."""
-        gone = self._removed.get(target)
-        return gone is not None and gone.sequence is None
+        """Return whether a target was removed permanently."""
+        removed = self._removed.get(target)
+        return removed is not None and removed.sequence is None
 
     def changes_after(self, revision: int) -> TargetChanges:
         """Return the changes after a revision, or all records if those are not known any more."""
@@ -117,7 +117,9 @@
             records=tuple(
                 known.record for known in self._known.values() if known.revision > revision
             ),
-            gone=tuple(gone.target for gone in self._removed.values() if gone.revision > revision),
+            gone=tuple(
+                removed.target for removed in self._removed.values() if removed.revision > revision
+            ),
         )
 
     def apply(self, command: RegisterTarget | RemoveTarget | MarkTargetsSilent) -> TargetRecorded:
@@ -152,17 +154,17 @@
 
     def _may_return(self, record: TargetRecord) -> bool:
         """Count a heartbeat of a removed target; return whether to register it again."""
-        gone = self._removed[record.target]
-        if gone.start is None:
-            self._removed[record.target] = replace(gone, start=record.start)
+        removed = self._removed[record.target]
+        if removed.start is None:
+            self._removed[record.target] = replace(removed, start=record.start)
             return False
-        if record.start != gone.start:
-            return self._restore_if(record.start > gone.start, record)
-        if gone.sequence is None or record.sequence <= gone.sequence:
+        if record.start != removed.start:
+            return self._restore_if(record.start > removed.start, record)
+        if removed.sequence is None or record.sequence <= removed.sequence:
             return False
-        heartbeats = gone.heartbeats + 1
+        heartbeats = removed.heartbeats + 1
         self._removed[record.target] = replace(
-            gone, sequence=record.sequence, heartbeats=heartbeats
+            removed, sequence=record.sequence, heartbeats=heartbeats
         )
         return self._restore_if(heartbeats >= HEARTBEATS_TO_RETURN, record)
 
@@ -184,8 +186,12 @@
         known = self._known.get(command.target)
         if known is not None and known.record.start > command.start > 0:
             return False
-        gone = self._removed.get(command.target)
-        if gone is not None and gone.sequence is None and command.start <= (gone.start or 0):
+        removed = self._removed.get(command.target)
+        if (
+            removed is not None
+            and removed.sequence is None
+            and command.start <= (removed.start or 0)
+        ):
             return False
         return self._remove(command.target, start=command.start)
 
@@ -208,8 +214,8 @@
         known = self._known.get(target)
         if known is not None:
             return max(reported, known.record.start)
-        gone = self._removed.get(target)
-        recorded = gone.start if gone is not None else None
+        removed = self._removed.get(target)
+        recorded = removed.start if removed is not None else None
         return reported or recorded
 
     def _silence(self, target: str) -> bool:
