--- a/packages/damsonlane/src/damsonlane/admission/_limits.py
+++ b/packages/damsonlane/src/damsonlane/admission/_limits.py
@@ -46,29 +46,29 @@
     def __init__(self) -> None:
         self._lanes: dict[Lane, dict[str, _Usage]] = {}
 
-    def try_acquire(self, entrant: AdmissionRequest, now: float) -> bool:
-        """Admit a request if the limits allow it; return whether.
+    def try_acquire(self, request: AdmissionRequest, now: float) -> bool:
+        """Admit a request if the limits allow it; return whether it was admitted.
 
-        Each admitted request must be followed by a call of `leave`.
+        Each admitted request must be followed by a call of `release`.
         """
-        if 0 < entrant.own_limit <= self._count_own(entrant.organisation):
+        if 0 < request.own_limit <= self._count_own(request.organisation):
             return False
-        lane = self._lanes.setdefault(entrant.lane, {})
-        usage = lane.setdefault(entrant.organisation, _Usage())
-        usage.weight = entrant.weight
+        lane = self._lanes.setdefault(request.lane, {})
+        usage = lane.setdefault(request.organisation, _Usage())
+        usage.weight = request.weight
         usage.seen_at = now
         total = sum(other.in_flight for other in lane.values())
-        if usage.in_flight >= self._share(lane, usage, entrant.limit, now):
-            if total >= entrant.limit:
+        if usage.in_flight >= self._share(lane, usage, request.limit, now):
+            if total >= request.limit:
                 return False
-        elif total >= 2 * entrant.limit:
+        elif total >= 2 * request.limit:
             return False
         usage.in_flight += 1
         return True
 
-    def release(self, entrant: AdmissionRequest) -> None:
+    def release(self, request: AdmissionRequest) -> None:
         """Count an admitted request as completed."""
-        self._lanes[entrant.lane][entrant.organisation].in_flight -= 1
+        self._lanes[request.lane][request.organisation].in_flight -= 1
 
     def in_flight(self) -> int:
         """Return the number of requests in flight over all lanes."""
--- a/packages/damsonlane/src/damsonlane/admission/tests/test_limits.py
+++ b/packages/damsonlane/src/damsonlane/admission/tests/test_limits.py
@@ -10,7 +10,7 @@
 _WORK = WorkClass(organisation="o", pipeline="p", stage="s")
 
 
-def _entrant(
+def _make_request(
     name: str, weight: float = 1.0, limit: int = 12, own_limit: int = 0
 ) -> AdmissionRequest:
     return AdmissionRequest(
@@ -19,36 +19,36 @@
 
 
 def _fill(
-    limits: InFlightLimits, entrant: AdmissionRequest, attempts: int, now: float = 0.0
+    limits: InFlightLimits, request: AdmissionRequest, attempts: int, now: float = 0.0
 ) -> int:
-    return sum(limits.try_acquire(entrant, now) for _ in range(attempts))
+    return sum(limits.try_acquire(request, now) for _ in range(attempts))
 
 
 class InFlightLimitsTest(unittest.TestCase):
     def test_a_single_organisation_may_use_the_whole_limit(self) -> None:
-        self.assertEqual(_fill(InFlightLimits(), _entrant("a"), 20), 12)
+        self.assertEqual(_fill(InFlightLimits(), _make_request("a"), 20), 12)
 
     def test_a_borrowed_share_is_available_at_once(self) -> None:
         limits = InFlightLimits()
-        _fill(limits, _entrant("a"), 20)
-        self.assertEqual(_fill(limits, _entrant("b", weight=2.0), 20), 8)
-        self.assertEqual(_fill(limits, _entrant("a"), 20), 0)
+        _fill(limits, _make_request("a"), 20)
+        self.assertEqual(_fill(limits, _make_request("b", weight=2.0), 20), 8)
+        self.assertEqual(_fill(limits, _make_request("a"), 20), 0)
 
     def test_lanes_are_independent(self) -> None:
         limits = InFlightLimits()
-        _fill(limits, _entrant("a"), 20)
+        _fill(limits, _make_request("a"), 20)
         lookup = AdmissionRequest(organisation="a", lane="lookup", weight=1, limit=3)
         self.assertEqual(_fill(limits, lookup, 9), 3)
 
     def test_the_limit_of_an_organisation_applies_over_all_lanes(self) -> None:
-        self.assertEqual(_fill(InFlightLimits(), _entrant("a", own_limit=5), 20), 5)
+        self.assertEqual(_fill(InFlightLimits(), _make_request("a", own_limit=5), 20), 5)
 
     def test_a_completed_request_makes_room_for_another(self) -> None:
         limits = InFlightLimits()
-        entrant = _entrant("a")
-        _fill(limits, entrant, 20)
-        limits.release(entrant)
-        self.assertEqual((_fill(limits, entrant, 5), limits.in_flight()), (1, 12))
+        request = _make_request("a")
+        _fill(limits, request, 20)
+        limits.release(request)
+        self.assertEqual((_fill(limits, request, 5), limits.in_flight()), (1, 12))
 
     @settings(derandomize=True, database=None, max_examples=200)
     @given(
@@ -60,13 +60,13 @@
         weights = {"a": 1.0, "b": 2.0, "c": 3.0}
         for name, enters, pause in moves:
             now += pause
-            entrant = _entrant(name, weight=weights[name])
+            request = _make_request(name, weight=weights[name])
             if not enters:
                 if inside[name]:
-                    limits.release(entrant)
+                    limits.release(request)
                     inside[name] -= 1
                 continue
-            is_inside = limits.try_acquire(entrant, now)
+            is_inside = limits.try_acquire(request, now)
             if inside[name] < int(12 * weights[name] / 6) and sum(inside.values()) < 24:
                 self.assertTrue(is_inside, "an organisation within its least share was refused")
             inside[name] += is_inside
