--- a/packages/damsonlane/src/damsonlane/requests/_state_machine.py
+++ b/packages/damsonlane/src/damsonlane/requests/_state_machine.py
@@ -349,8 +349,8 @@
         )
         return self._end(refusal)
 
-    def _end(self, ending: Outcome) -> End:
-        return End(billed=BilledOutcome(outcome=ending, costs=tuple(self._costs)))
+    def _end(self, outcome: Outcome) -> End:
+        return End(billed=BilledOutcome(outcome=outcome, costs=tuple(self._costs)))
 
     def _record_cost(
         self, now: float, target: str, result: AttemptResult, is_answered: bool
--- a/packages/damsonlane/src/damsonlane/requests/tests/session.py
+++ b/packages/damsonlane/src/damsonlane/requests/tests/session.py
@@ -81,18 +81,18 @@
     """The state of one entry."""
 
     def __init__(self, services: dict[str, list[FakeTarget]]) -> None:
-        self.books = {service: TargetTable() for service in services}
+        self.tables = {service: TargetTable() for service in services}
         self.meters = {service: ServiceMeter() for service in services}
         self.limits = InFlightLimits()
         self.budget = RetryBudget()
         self.leaving: set[str] = set()
         self.is_crashed = False
         for service, targets in services.items():
-            standings = {
+            locations = {
                 target.name: TargetLocation(address=f"127.0.0.1:{number}", data_centre="one")
                 for number, target in enumerate(targets)
             }
-            self.books[service].update(standings)
+            self.tables[service].update(locations)
 
 
 class Session:
@@ -155,7 +155,7 @@
             job=job,
             digest=asked.text,
         )
-        entrant = AdmissionRequest(
+        admission = AdmissionRequest(
             organisation=asked.organisation, lane=asked.lane, weight=1.0, limit=8
         )
         needed = sum(
@@ -164,13 +164,13 @@
         )
         if needed > ADMISSION_SHARE * asked.deadline:
             self._record(now, asked.entry, "refused at admission", {"request": request.request})
-        elif not entry.limits.try_acquire(entrant, now):
+        elif not entry.limits.try_acquire(admission, now):
             self._record(now, asked.entry, "lane full", {"request": request.request})
         else:
             run = RequestStateMachine(
                 request, token=f"{asked.entry}/1/{number}", wall_clock=now, budget=entry.budget
             )
-            handling = _Handling(self, asked.entry, request, entrant, run)
+            handling = _Handling(self, asked.entry, request, admission, run)
             handling.carry_out(now, run.begin(now))
 
     def _record(self, now: float, entry: str, what: str, more: dict[str, Any]) -> None:
@@ -194,7 +194,7 @@
     def choose(self, entry: str, send: Send, now: float) -> TargetChoice | None:
         """Choose a target as the entry would."""
         state = self._entries[entry]
-        choice = state.books[send.stage.service].choose(
+        choice = state.tables[send.stage.service].choose(
             send.stage.routing,
             Origin(data_centre="one"),
             avoid=send.avoid,
@@ -239,7 +239,7 @@
         seconds = now - began_at if is_answered else None
         work = _work(request, send.stage.name)
         pace = state.meters[send.stage.service].finish(work, now, seconds)
-        state.books[send.stage.service].finish(
+        state.tables[send.stage.service].finish(
             choice.target,
             "good" if is_answered else ("neutral" if result.outcome == "refused" else "bad"),
             now,
@@ -251,7 +251,7 @@
 
     def end(self, entry: str, handling: "_Handling", now: float, effect: End) -> None:
         """Record an outcome and its cost."""
-        self._entries[entry].limits.release(handling.entrant)
+        self._entries[entry].limits.release(handling.admission)
         lines = effect.billed.costs
         self._costs.record(RecordCosts(sender="s", batch=next(self._batches), lines=lines))
         ending = _describe(effect.billed.outcome)
@@ -266,11 +266,11 @@
         session: Session,
         entry: str,
         request: Request,
-        entrant: AdmissionRequest,
+        admission: AdmissionRequest,
         run: RequestStateMachine,
     ) -> None:
         self.session, self.entry, self.request = session, entry, request
-        self.entrant, self.run = entrant, run
+        self.admission, self.run = admission, run
 
     def carry_out(self, now: float, effect: Effect) -> None:
         """Carry out one effect, and schedule the next one."""
