--- a/packages/damsonlane_bench/src/damsonlane_bench/demo.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/demo.py
@@ -36,8 +36,8 @@
         self._fleet.start_control_group()
         self._fleet.start_entries()
         self._fleet.wait_standins()
-        self._fleet.apply_tree(make_tree(self._fleet.standins))
-        print(self._fleet.require("control", "status"))
+        self._fleet.apply_settings(make_tree(self._fleet.standins))
+        print(self._fleet.check_command("control", "status"))
 
     def _send_requests(self) -> None:
         filing = _FILING.read_text(encoding="utf-8")
@@ -81,20 +81,22 @@
         )
 
     def _change_deadline(self) -> None:
-        print(self._fleet.require("settings", "set", "/policy/deadline_seconds", "2.5").strip())
-        print(self._fleet.require("control", "boxes"))
+        print(
+            self._fleet.check_command("settings", "set", "/policy/deadline_seconds", "2.5").strip()
+        )
+        print(self._fleet.check_command("control", "boxes"))
         for entry in ("entry-1", "entry-2"):
             response = self._fleet.call(entry, "statement", "in force?", token=_TOKEN)
             remaining = response.body.get("remaining_ms", 9999)
             self._check(remaining <= 2500, f"the new deadline is in force at {entry}")
         wait_until(self._have_costs_arrived, "the cost report contains the refund")
-        print(self._fleet.require("report", "cost"))
+        print(self._fleet.check_command("report", "cost"))
         plot = self._fleet.folder / "attainment.svg"
-        print(self._fleet.require("report", "burn", f"--plot={plot}"))
+        print(self._fleet.check_command("report", "burn", f"--plot={plot}"))
         self._check(plot.stat().st_size > 0, "the attainment plot is written")
 
     def _have_costs_arrived(self) -> bool:
-        return "refund" in self._fleet.require("report", "cost")
+        return "refund" in self._fleet.check_command("report", "cost")
 
     def _check(self, passed: bool, description: str) -> None:
         print(f"{'ok ' if passed else 'BAD'} {description}")
--- a/packages/damsonlane_bench/src/damsonlane_bench/fleet/_certificates.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/fleet/_certificates.py
@@ -7,7 +7,7 @@
 from damsonlane.settings import TlsFiles
 
 
-class KeyMaker:
+class CertificateIssuer:
     """A certificate authority for boxes and operators.
 
     Args:
--- a/packages/damsonlane_bench/src/damsonlane_bench/fleet/_fleet.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/fleet/_fleet.py
@@ -14,11 +14,11 @@
 from typing import Any, Final
 
 from damsonlane.settings import TlsFiles
-from damsonlane_bench.fleet._certificates import KeyMaker
+from damsonlane_bench.fleet._certificates import CertificateIssuer
 from damsonlane_bench.fleet._http import Response, send
-from damsonlane_bench.fleet._ports import take_address
+from damsonlane_bench.fleet._ports import allocate_address
 from damsonlane_bench.fleet._processes import Process, find_program
-from damsonlane_bench.fleet._waiting import StuckError, wait_until
+from damsonlane_bench.fleet._waiting import WaitTimeoutError, wait_until
 
 _COMMAND_TIMEOUT_SECONDS: Final = 60.0
 
@@ -83,7 +83,7 @@
         folder.mkdir(parents=True, exist_ok=True)
         self._election_seconds: Final = election_seconds
         self._box_settings: Final = dict(box_settings or {})
-        self._keys: Final = KeyMaker(folder / "keys") if with_tls else None
+        self._keys: Final = CertificateIssuer(folder / "keys") if with_tls else None
         self._data_centres: Final = data_centres
         self.processes: dict[str, Process] = {}
         self.standins: dict[str, str] = {}
@@ -131,9 +131,9 @@
             self.start(box.name)
         for box in (first, *others):
             self.wait_listening(box)
-        self.require("control", "found", first.internal_address)
+        self.check_command("control", "found", first.internal_address)
         for box in others:
-            self.require("control", "add", box.internal_address)
+            self.check_command("control", "add", box.internal_address)
 
     def start_entries(self) -> None:
         """Start all entries and wait until they are ready."""
@@ -156,17 +156,18 @@
         """Wait until a box responds with status 200.
 
         Raises:
-            StuckError: its process exited, or it did not respond in time; with the tail of its log.
+            WaitTimeoutError: its process exited, or it did not respond in time; with the tail of
+                its log.
         """
         process = self.processes[box.name]
         try:
             wait_until(lambda: not process.is_running() or _is_ok(url), what)
-        except StuckError as error:
-            raise StuckError(f"{error}; its log ends: {process.read_log_end()}") from None
+        except WaitTimeoutError as error:
+            raise WaitTimeoutError(f"{error}; its log ends: {process.read_log_tail()}") from None
         if not process.is_running():
-            raise StuckError(f"{box.name} ended; its log ends: {process.read_log_end()}")
+            raise WaitTimeoutError(f"{box.name} ended; its log ends: {process.read_log_tail()}")
 
-    def wipe(self, name: str) -> None:
+    def wipe_data(self, name: str) -> None:
         """Delete the data folder of a box that is not running."""
         shutil.rmtree(self.boxes[name].data_folder)
 
@@ -179,7 +180,7 @@
             name: its name, also of its log.
             behaviour: fields of `damsonlane_bench.standin.Behaviour`.
         """
-        address = self.standins.get(name) or take_address()
+        address = self.standins.get(name) or allocate_address()
         command = [sys.executable, "-m", "damsonlane_bench.standin", f"--address={address}"]
         command += [f"--{field}={value}" for field, value in behaviour.items()]
         self.processes[name] = Process(name, command, self.folder / f"{name}.log")
@@ -216,18 +217,18 @@
             code=completed.returncode, output=completed.stdout, errors=completed.stderr
         )
 
-    def require(self, *arguments: str) -> str:
+    def check_command(self, *arguments: str) -> str:
         """Run the operator's command, which must succeed, and return its output."""
         result = self.command(*arguments)
         if result.code != 0:
             raise AssertionError(f"damsonlane {' '.join(arguments)}: {result}")
         return result.output
 
-    def apply_tree(self, tree: Mapping[str, Any]) -> None:
+    def apply_settings(self, tree: Mapping[str, Any]) -> None:
         """Apply a settings tree."""
         path = self.folder / "tree.json"
         path.write_text(json.dumps(tree, indent=2), encoding="utf-8")
-        self.require("settings", "apply", str(path))
+        self.check_command("settings", "apply", str(path))
 
     def call(
         self,
@@ -262,7 +263,7 @@
         order = sorted(self.processes, key=lambda name: not name.startswith("entry"))
         for name in order:
             with contextlib.suppress(ProcessLookupError):
-                self.processes[name].thaw()
+                self.processes[name].resume()
             self.processes.pop(name).stop()
 
     # Files.
@@ -272,9 +273,9 @@
         box = Box(
             name=name,
             role=role,
-            internal_address=take_address(),
-            admin_address=take_address(),
-            caller_address=take_address() if role == "entry" else "",
+            internal_address=allocate_address(),
+            admin_address=allocate_address(),
+            caller_address=allocate_address() if role == "entry" else "",
             settings_file=self.folder / f"{name}.json",
             data_folder=self.folder / "data" / name,
         )
--- a/packages/damsonlane_bench/src/damsonlane_bench/fleet/_ports.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/fleet/_ports.py
@@ -14,7 +14,7 @@
 _reservations: Final[dict[int, socket.socket]] = {}
 
 
-def take_address() -> str:
+def allocate_address() -> str:
     """Return a loopback address with a free port, and reserve the port for this process."""
     while True:
         port = random.SystemRandom().randint(_FIRST, _LAST)
--- a/packages/damsonlane_bench/src/damsonlane_bench/fleet/_processes.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/fleet/_processes.py
@@ -44,11 +44,11 @@
         """Return whether it is running."""
         return self._process.poll() is None
 
-    def has_written(self) -> bool:
+    def has_output(self) -> bool:
         """Return whether it has written any output, that is, whether its own code runs."""
         return self.log.stat().st_size > self._log_start
 
-    def read_log_end(self) -> str:
+    def read_log_tail(self) -> str:
         """Return the last lines of its output."""
         text = self.log.read_text(encoding="utf-8", errors="replace")
         return "\n".join(text.splitlines()[-_LOG_TAIL_LINES:])
@@ -80,12 +80,12 @@
         """Send it a signal."""
         self._process.send_signal(number)
 
-    def freeze(self) -> None:
+    def suspend(self) -> None:
         """Suspend it (SIGSTOP)."""
         os.kill(self.pid, signal.SIGSTOP)
 
-    def thaw(self) -> None:
-        """Resume it after `freeze` (SIGCONT)."""
+    def resume(self) -> None:
+        """Resume it after `suspend` (SIGCONT)."""
         os.kill(self.pid, signal.SIGCONT)
 
     def _close(self) -> int:
--- a/packages/damsonlane_bench/src/damsonlane_bench/fleet/_waiting.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/fleet/_waiting.py
@@ -9,7 +9,7 @@
 _POLL_SECONDS: Final = 0.02
 
 
-class StuckError(AssertionError):
+class WaitTimeoutError(AssertionError):
     """A condition did not hold within its timeout."""
 
 
@@ -24,10 +24,10 @@
         seconds: timeout.
 
     Raises:
-        StuckError: the condition did not hold within the timeout.
+        WaitTimeoutError: the condition did not hold within the timeout.
     """
     deadline = time.monotonic() + seconds
     while not condition():
         if time.monotonic() >= deadline:
-            raise StuckError(f"waited {seconds} s in vain until {what}")
+            raise WaitTimeoutError(f"waited {seconds} s in vain until {what}")
         time.sleep(_POLL_SECONDS)
--- a/packages/damsonlane_bench/src/damsonlane_bench/load/_plan.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/load/_plan.py
@@ -22,17 +22,17 @@
     #: Deadline, in milliseconds.
     deadline_ms: int
     #: Whether they must run at most once.
-    is_marked: bool = False
+    is_at_most_once: bool = False
 
 
 @dataclass(frozen=True, kw_only=True)
-class Wave:
+class LoadProfile:
     """Request rate over time: the base rate, then the peak rate, then the base rate again."""
 
     #: Requests per second before and after the peak.
-    calm_rate: float
+    base_rate: float
     #: Requests per second in the peak.
-    wave_rate: float
+    peak_rate: float
     #: Seconds before the peak.
     before: float
     #: Seconds of the peak.
@@ -43,7 +43,7 @@
     def rate_at(self, seconds: float) -> float:
         """Return the requests per second at a time since the start."""
         is_peak = self.before <= seconds < self.before + self.during
-        return self.wave_rate if is_peak else self.calm_rate
+        return self.peak_rate if is_peak else self.base_rate
 
     def length(self) -> float:
         """Return the duration of all three phases, in seconds."""
@@ -62,10 +62,12 @@
     number: int
 
 
-def plan_arrivals(wave: Wave, classes: Sequence[RequestClass], seed: int) -> tuple[Arrival, ...]:
+def plan_arrivals(
+    wave: LoadProfile, classes: Sequence[RequestClass], seed: int
+) -> tuple[Arrival, ...]:
     """Return the arrivals of a Poisson process with the rates of a wave, drawn with a seed."""
     randomness = random.Random(seed)
-    highest = max(wave.calm_rate, wave.wave_rate)
+    highest = max(wave.base_rate, wave.peak_rate)
     shares = [request_class.share for request_class in classes]
     arrivals: list[Arrival] = []
     at = 0.0
--- a/packages/damsonlane_bench/src/damsonlane_bench/load/_sender.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/load/_sender.py
@@ -88,7 +88,7 @@
     pool: urllib3.PoolManager, entry: str, arrival: Arrival, start: float, run: str
 ) -> Outcome:
     request_class = arrival.request_class
-    key = f"{run}-{arrival.number}" if request_class.is_marked else ""
+    key = f"{run}-{arrival.number}" if request_class.is_at_most_once else ""
     headers = {
         "Authorization": f"Bearer {request_class.token}",
         "Damsonlane-Deadline-Ms": str(request_class.deadline_ms),
--- a/packages/damsonlane_bench/src/damsonlane_bench/overhead.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/overhead.py
@@ -37,7 +37,7 @@
         fleet.start_control_group()
         fleet.start_entries()
         fleet.wait_standins()
-        fleet.apply_tree(_make_tree(fleet.standins))
+        fleet.apply_settings(_make_tree(fleet.standins))
         for repeat in range(1, repeats + 1):
             print(f"repeat {repeat}: {_measure_once(fleet)}")
 
--- a/packages/damsonlane_bench/src/damsonlane_bench/policy.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/policy.py
@@ -19,9 +19,9 @@
 from damsonlane_bench.fleet import Fleet
 from damsonlane_bench.load import (
     ClassSummary,
+    LoadProfile,
     Outcome,
     RequestClass,
-    Wave,
     plan_arrivals,
     send_arrivals,
     summarize,
@@ -36,7 +36,7 @@
     RequestClass(name="lookup", share=0.45, token=_TOKENS["merchants"], pipeline="lookup",
                  length=50, deadline_ms=1000),
     RequestClass(name="confirm", share=0.05, token=_TOKENS["merchants"], pipeline="confirm",
-                 length=50, deadline_ms=2000, is_marked=True),
+                 length=50, deadline_ms=2000, is_at_most_once=True),
     RequestClass(name="statement", share=0.30, token=_TOKENS["merchants"], pipeline="statement",
                  length=400, deadline_ms=3000),
     RequestClass(name="subtitle", share=0.15, token=_TOKENS["bureau"], pipeline="subtitle",
@@ -62,7 +62,7 @@
     #: Name in the results.
     name: str
     #: Rates of the load over time.
-    load: Wave
+    load: LoadProfile
     #: Injects the fault; called when the load starts.
     inject_fault: Callable[[Fleet], None] = lambda _: None
     #: Ends the fault; called after the load.
@@ -112,12 +112,14 @@
     fleet.wait_ready(fleet.boxes["entry-6"])
 
 
-def _steady_load(share: float) -> Wave:
+def _steady_load(share: float) -> LoadProfile:
     rate = CAPACITY * share
-    return Wave(calm_rate=rate, wave_rate=rate, before=0, during=8, after=0)
+    return LoadProfile(base_rate=rate, peak_rate=rate, before=0, during=8, after=0)
 
 
-_STEP: Final = Wave(calm_rate=CAPACITY * 0.3, wave_rate=CAPACITY * 2.0, before=2, during=6, after=2)
+_STEP: Final = LoadProfile(
+    base_rate=CAPACITY * 0.3, peak_rate=CAPACITY * 2.0, before=2, during=6, after=2
+)
 SCENARIOS: Final = (
     Scenario(name="calm at 50%", load=_steady_load(0.5)),
     Scenario(name="80%", load=_steady_load(0.8)),
@@ -166,7 +168,7 @@
     fleet.start_control_group()
     fleet.start_entries()
     fleet.wait_standins()
-    fleet.apply_tree(_make_tree(fleet.standins, policy))
+    fleet.apply_settings(_make_tree(fleet.standins, policy))
     return fleet
 
 
@@ -247,7 +249,7 @@
 
 
 def _measure_policy(fleet: Fleet, scenario: Scenario, policy: str, seed: int) -> dict[str, Any]:
-    fleet.require("settings", "set", "/policy/routing", policy)
+    fleet.check_command("settings", "set", "/policy/routing", policy)
     time.sleep(1.0)
     name = f"{scenario.name}-{policy}-{seed}-{time.monotonic_ns()}"
     before = read_processor_times()
--- a/packages/damsonlane_bench/src/damsonlane_bench/registered/_target.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/registered_target/_target.py
@@ -27,7 +27,7 @@
 _LOG: Final = logging.getLogger(__name__)
 
 #: What a target serves: single responses, streams of events, or pieces of stages.
-Kind = Literal["plain", "engine", "pool"]
+TargetKind = Literal["plain", "engine", "pool"]
 
 #: Seconds between heartbeats.
 HEARTBEAT_SECONDS: Final = 0.5
@@ -36,21 +36,21 @@
 #: Duration of a plain request and of a call to a pool, in seconds.
 _WORK_SECONDS: Final = 0.02
 #: Number of events of a stream, and the seconds between them.
-EVENTS: Final = 20
+EVENT_COUNT: Final = 20
 _EVENT_SECONDS: Final = 0.05
 #: Body of a request, or material key of a piece, at which a target exits.
-DEADLY: Final = "end the target"
+CRASH_INPUT: Final = "end the target"
 #: Seconds from the beginning of such a run until the process exits.
 _CRASH_DELAY_SECONDS: Final = 0.05
-#: Exit code of a process that exits at `DEADLY`.
+#: Exit code of a process that exits at `CRASH_INPUT`.
 _CRASH_EXIT_CODE: Final = 70
 #: Signals at which a target rejects requests and requests a back-off, and at which it announces in
 #: its responses that it is draining.
-REST_SIGNAL: Final = signal.SIGUSR1
-LEAVING_SIGNAL: Final = signal.SIGUSR2
+BACKOFF_SIGNAL: Final = signal.SIGUSR1
+DRAINING_SIGNAL: Final = signal.SIGUSR2
 #: Signals at which a target announces the next of `RATE_LIMITS`, and at which it announces none.
-LIMIT_SIGNAL: Final = signal.SIGRTMIN
-LIMIT_END_SIGNAL: Final = signal.SIGRTMIN + 1
+RATE_LIMIT_SIGNAL: Final = signal.SIGRTMIN
+RATE_LIMIT_END_SIGNAL: Final = signal.SIGRTMIN + 1
 #: Rate limits that a target announces one after the other: the value of the header, and the
 #: requests per second that it means; None for an invalid value.
 RATE_LIMITS: Final[tuple[tuple[str, float | None], ...]] = (
@@ -65,7 +65,7 @@
     ("1e9", 1e9),
 )
 #: Seconds of back-off that a target requests, and for which it rejects requests.
-REST_SECONDS: Final = 1.5
+BACKOFF_SECONDS: Final = 1.5
 #: Seconds for which a draining target continues to serve.
 _DRAINING_SECONDS: Final = 1.5
 
@@ -80,7 +80,7 @@
         registries: addresses of control replicas for heartbeats.
     """
 
-    def __init__(self, service: str, kind: Kind, address: str, registries: list[str]) -> None:
+    def __init__(self, service: str, kind: TargetKind, address: str, registries: list[str]) -> None:
         self._kind: Final = kind
         self._registries = registries
         self._record = TargetRecord(
@@ -110,7 +110,7 @@
 
     def request_backoff(self) -> None:
         """Reject requests for a while, with a back-off."""
-        self._backoff_until = time.monotonic() + REST_SECONDS
+        self._backoff_until = time.monotonic() + BACKOFF_SECONDS
 
     def announce_next_rate_limit(self) -> None:
         """Announce the next rate limit in each response from now on."""
@@ -205,7 +205,7 @@
         line = {
             "came": request.find(b"damsonlane-request-id") or "",
             "target": self._record.target,
-            "rest": REST_SECONDS if is_backing_off else 0.0,
+            "rest": BACKOFF_SECONDS if is_backing_off else 0.0,
             "leaves": self._is_draining,
             "at": time.time(),
         }
@@ -215,7 +215,7 @@
         return (
             *self._make_headers(request),
             (b"Damsonlane-Run-No", b"1"),
-            (b"Retry-After", str(REST_SECONDS).encode()),
+            (b"Retry-After", str(BACKOFF_SECONDS).encode()),
         )
 
     async def _compute_pieces(self, request: HttpRequest, reply: ResponseWriter) -> None:
@@ -237,7 +237,7 @@
         headers = (*self._make_headers(request), (b"Content-Type", b"text/event-stream"))
         reply.start(HttpHead(status=200, headers=headers))
         first = int(request.find(b"last-event-id") or 0) + 1
-        for number in range(first, EVENTS + 1):
+        for number in range(first, EVENT_COUNT + 1):
             await asyncio.sleep(_EVENT_SECONDS)
             await reply.send(f"id: {number}\ndata: token {number}\n\n".encode())
         reply.finish()
@@ -279,13 +279,13 @@
     print(json.dumps(line), flush=True)
 
 
-def _crashes_target(request: HttpRequest, kind: Kind) -> bool:
+def _crashes_target(request: HttpRequest, kind: TargetKind) -> bool:
     """Return whether the target exits when it runs a request."""
     if kind != "pool":
-        return request.body == DEADLY.encode()
+        return request.body == CRASH_INPUT.encode()
     is_piece_call = request.path == "/v1/pieces"
     return is_piece_call and any(
-        piece["material_key"] == DEADLY for piece in json.loads(request.body)["pieces"]
+        piece["material_key"] == CRASH_INPUT for piece in json.loads(request.body)["pieces"]
     )
 
 
--- a/packages/damsonlane_bench/src/damsonlane_bench/routes.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/routes.py
@@ -11,16 +11,23 @@
 from threading import Thread
 from typing import Any, Final
 
-from damsonlane_bench.fleet import KeyMaker, Process, find_program, send, take_address, wait_until
-from damsonlane_bench.registered import Kind
-from damsonlane_bench.registered._target import EVENTS
+from damsonlane_bench.fleet import (
+    CertificateIssuer,
+    Process,
+    allocate_address,
+    find_program,
+    send,
+    wait_until,
+)
+from damsonlane_bench.registered_target import TargetKind
+from damsonlane_bench.registered_target._target import EVENT_COUNT
 
 #: Caller key of the only organisation.
 CALLER_KEY: Final = "florists-key"
 #: Timeout of callers, in seconds.
 _CALLER_TIMEOUT_SECONDS: Final = 20.0
 #: Targets of the demonstration: name, service and kind.
-_TARGETS: Final[tuple[tuple[str, str, Kind], ...]] = (
+_TARGETS: Final[tuple[tuple[str, str, TargetKind], ...]] = (
     ("desk-1", "desk", "plain"),
     ("desk-2", "desk", "plain"),
     ("model-1", "model", "engine"),
@@ -49,12 +56,12 @@
         targets: Sequence[str] = _TARGET_NAMES,
     ) -> None:
         self.folder: Final = folder
-        self._keys: Final = KeyMaker(folder / "keys")
+        self._keys: Final = CertificateIssuer(folder / "keys")
         self.controls: Final = list(controls)
         self.entries: Final = list(entries)
         self.processes: Final[dict[str, Process]] = {}
         self.addresses: Final = {
-            f"{name}/{purpose}": take_address()
+            f"{name}/{purpose}": allocate_address()
             for name in (*self.controls, *self.entries, *targets)
             for purpose in ("internal", "admin", "front", "ready")
         }
@@ -74,11 +81,11 @@
         command = [find_program("damsonlaned"), f"--settings={path}"]
         self.processes[name] = Process(name, command, self.folder / f"{name}.log")
 
-    def start_target(self, name: str, service: str, kind: Kind) -> None:
+    def start_target(self, name: str, service: str, kind: TargetKind) -> None:
         """Start a target that registers itself."""
         registries = ";".join(self.addresses[f"{control}/front"] for control in self.controls)
         command = [
-            *(sys.executable, "-m", "damsonlane_bench.registered"),
+            *(sys.executable, "-m", "damsonlane_bench.registered_target"),
             f"--service={service}",
             f"--kind={kind}",
             f"--address={self.addresses[f'{name}/front']}",
@@ -294,7 +301,9 @@
         status, body = self._call("entry-1", "refund", "refund-1")
         self._check(status == 200, f"a refund is confirmed: {body.decode()}")
         status, body = self._call("entry-2", "chat", "chat-1")
-        self._check(_is_complete_stream(status, body), f"a stream of {EVENTS} events is complete")
+        self._check(
+            _is_complete_stream(status, body), f"a stream of {EVENT_COUNT} events is complete"
+        )
         status, body = self._fleet.call("entry-1", "/nowhere/a", "lost-1")
         self._check(status == 404, f"an unknown path is refused: {body.decode()}")
 
@@ -368,7 +377,9 @@
 
 def _is_complete_stream(status: int, body: bytes) -> bool:
     """Return whether a response is a stream with each event once, in order."""
-    expected = "".join(f"id: {number}\ndata: token {number}\n\n" for number in range(1, EVENTS + 1))
+    expected = "".join(
+        f"id: {number}\ndata: token {number}\n\n" for number in range(1, EVENT_COUNT + 1)
+    )
     return status == 200 and body.decode() == expected
 
 
--- a/packages/damsonlane_bench/src/damsonlane_bench/soak/_callers.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/soak/_callers.py
@@ -6,7 +6,7 @@
 from threading import Event, Thread
 from typing import Final
 
-from damsonlane_bench.registered._target import DEADLY
+from damsonlane_bench.registered_target._target import CRASH_INPUT
 from damsonlane_bench.routes import CALLER_KEY, RoutesFleet
 from damsonlane_bench.soak._observations import CallerResponse, Observations, VersionRead
 
@@ -73,7 +73,7 @@
     def _call(self, entry: str, route: str) -> CallerResponse:
         """Send a request on the persistent connection to an entry."""
         request = f"{route}-{self._name}-{next(self._numbers)}@{entry}"
-        body = DEADLY if self._sends_crash_request else f"of {request}"
+        body = CRASH_INPUT if self._sends_crash_request else f"of {request}"
         headers = {
             "Host": "shop.example",
             "Authorization": f"Bearer {CALLER_KEY}",
--- a/packages/damsonlane_bench/src/damsonlane_bench/soak/_fleet_size.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/soak/_fleet_size.py
@@ -3,10 +3,10 @@
 from dataclasses import dataclass
 from typing import Final
 
-from damsonlane_bench.registered import Kind
+from damsonlane_bench.registered_target import TargetKind
 
 #: Services of the fleet: name and kind of their targets.
-SERVICES: Final[tuple[tuple[str, Kind], ...]] = (
+SERVICES: Final[tuple[tuple[str, TargetKind], ...]] = (
     ("desk", "plain"),
     ("model", "engine"),
     ("encode", "pool"),
@@ -22,7 +22,7 @@
     #: Name of its service.
     service: str
     #: Kind of stand-in.
-    kind: Kind
+    kind: TargetKind
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/packages/damsonlane_bench/src/damsonlane_bench/soak/_soak_run.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/soak/_soak_run.py
@@ -8,8 +8,13 @@
 from threading import Event, Lock, Thread
 from typing import Final
 
-from damsonlane_bench.fleet import StuckError, wait_until
-from damsonlane_bench.registered import LEAVING_SIGNAL, LIMIT_END_SIGNAL, LIMIT_SIGNAL, REST_SIGNAL
+from damsonlane_bench.fleet import WaitTimeoutError, wait_until
+from damsonlane_bench.registered_target import (
+    BACKOFF_SIGNAL,
+    DRAINING_SIGNAL,
+    RATE_LIMIT_END_SIGNAL,
+    RATE_LIMIT_SIGNAL,
+)
 from damsonlane_bench.routes import RoutesFleet, make_document
 from damsonlane_bench.soak._callers import Caller, OperatorThread
 from damsonlane_bench.soak._evaluation import find_violations
@@ -185,7 +190,7 @@
         names = (
             self._list_service_targets(fault) if fault.kind == "rest of all" else [fault.process]
         )
-        self._signal(names, LEAVING_SIGNAL if fault.kind == "leaving word" else REST_SIGNAL)
+        self._signal(names, DRAINING_SIGNAL if fault.kind == "leaving word" else BACKOFF_SIGNAL)
         self._stopped.wait(fault.seconds)
         if fault.kind != "leaving word":
             return
@@ -205,10 +210,10 @@
         names = (
             self._list_service_targets(fault) if fault.kind == "limit of all" else [fault.process]
         )
-        self._signal(names, LIMIT_SIGNAL)
+        self._signal(names, RATE_LIMIT_SIGNAL)
         self._stopped.wait(_RATE_LIMIT_LENGTH_FACTOR * fault.seconds)
         if fault.kind != "lasting limit":
-            self._signal(names, LIMIT_END_SIGNAL)
+            self._signal(names, RATE_LIMIT_END_SIGNAL)
 
     def _list_service_targets(self, fault: Fault) -> list[str]:
         """Return the names of all targets of the service that a fault affects."""
@@ -219,7 +224,7 @@
         """Send a signal to targets that run and have installed their signal handlers."""
         for name in names:
             process = self._fleet.processes[name]
-            if process.is_running() and process.has_written():
+            if process.is_running() and process.has_output():
                 process.signal(number)
 
     def _drain(self, name: str) -> None:
@@ -242,11 +247,11 @@
         if not process.is_running():
             return lambda: self._restart(name)
         if kind == "freeze":
-            process.freeze()
-            return process.thaw
+            process.suspend()
+            return process.resume
         if kind == "hang-up":
             # SIGHUP ends a process whose interpreter still starts: no handler can be set yet.
-            if process.has_written():
+            if process.has_output():
                 process.signal(signal.SIGHUP)
             return lambda: None
         if kind == "stop":
@@ -289,10 +294,10 @@
 
         All rate limits are ended first, since a target with a limit of 0 gets no requests.
         """
-        self._signal(list(self._targets), LIMIT_END_SIGNAL)
+        self._signal(list(self._targets), RATE_LIMIT_END_SIGNAL)
         try:
             wait_until(self._is_served, "all entries serve all routes again", _RECOVERY_SECONDS)
-        except StuckError as error:
+        except WaitTimeoutError as error:
             return (
                 Violation(guarantee="the fleet serves again after the faults", detail=str(error)),
             )
--- a/packages/damsonlane_bench/src/damsonlane_bench/standin/_server.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/standin/_server.py
@@ -22,8 +22,8 @@
 }
 
 #: Input at which a target exits.
-DEADLY: Final = "end the target"
-#: Exit code of a target that exits at `DEADLY`.
+CRASH_INPUT: Final = "end the target"
+#: Exit code of a target that exits at `CRASH_INPUT`.
 _CRASH_EXIT_CODE: Final = 70
 
 
@@ -75,7 +75,7 @@
         text = body["input"]
         time.sleep(behaviour.seconds + behaviour.seconds_per_thousand * len(text) / 1000)
         self._record(body, text)
-        if DEADLY in text:
+        if CRASH_INPUT in text:
             os._exit(_CRASH_EXIT_CODE)
         if is_nth(behaviour.hang_up_every, count):
             raise DropConnectionError
--- a/packages/damsonlane_bench/src/damsonlane_bench/tests/test_control.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/tests/test_control.py
@@ -59,9 +59,9 @@
     def test_a_suspended_leader_neither_reverts_changes_nor_returns_stale_versions(self) -> None:
         self.operator.change(5)
         leader = self._find_leader()
-        self.fleet.processes[leader.name].freeze()
+        self.fleet.processes[leader.name].suspend()
         self.operator.change(5)
-        self.fleet.processes[leader.name].thaw()
+        self.fleet.processes[leader.name].resume()
         version = self.operator.version_at(leader)
         self.assertGreaterEqual(version, max(self.operator.accepted))
         self._check_history()
@@ -71,7 +71,7 @@
         first, second, third = self.fleet.controls()
         old = self.operator.status(third).replica
         self.fleet.kill(third.name)
-        self.fleet.wipe(third.name)
+        self.fleet.wipe_data(third.name)
         self.operator.change(5)
         self.fleet.start(third.name)
         self.fleet.wait_listening(third)
@@ -79,7 +79,7 @@
         self.assertNotEqual(status.replica, old)
         self.assertEqual(status.cluster, "")
         self.operator.start_changing(20)
-        self.fleet.require("control", "replace", old, third.internal_address)
+        self.fleet.check_command("control", "replace", old, third.internal_address)
         self.operator.finish_changing()
         self.fleet.kill(second.name)
         self.operator.change(5)
@@ -101,19 +101,19 @@
 
     def test_an_evacuated_data_centre_is_listed_until_it_is_restored(self) -> None:
         self.assertIn(
-            "johar is evacuated\n", self.fleet.require("data-centre", "evacuate", "johar")
+            "johar is evacuated\n", self.fleet.check_command("data-centre", "evacuate", "johar")
         )
-        again = self.fleet.require("data-centre", "evacuate", "johar")
+        again = self.fleet.check_command("data-centre", "evacuate", "johar")
         self.assertIn("as before", again)
         for box in self.fleet.controls():
             self.fleet.kill(box.name)
         for box in self.fleet.controls():
             self.fleet.start(box.name)
-        (row,) = json.loads(self.fleet.require("data-centre", "list", "--json"))
+        (row,) = json.loads(self.fleet.check_command("data-centre", "list", "--json"))
         self.assertEqual(row["data centre"], "johar")
         self.assertTrue(row["operator"] and row["since"])
-        self.fleet.require("data-centre", "restore", "johar")
-        self.assertEqual(json.loads(self.fleet.require("data-centre", "list", "--json")), [])
+        self.fleet.check_command("data-centre", "restore", "johar")
+        self.assertEqual(json.loads(self.fleet.check_command("data-centre", "list", "--json")), [])
 
     def test_a_client_without_tls_gets_no_answer(self) -> None:
         box = self.fleet.controls()[0]
--- a/packages/damsonlane_bench/src/damsonlane_bench/tests/test_crash_pipelines.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/tests/test_crash_pipelines.py
@@ -13,7 +13,7 @@
 
 from damsonlane_bench.fleet import Fleet, Response, send, wait_until
 from damsonlane_bench.settings_trees import digest_token, make_pipeline, make_services
-from damsonlane_bench.standin._server import DEADLY
+from damsonlane_bench.standin._server import CRASH_INPUT
 
 TOKEN = "north-token"
 #: Number of times that the caller sends the request.
@@ -42,11 +42,11 @@
                 "north": {"token_digests": [digest_token(TOKEN)], "pipelines": pipelines}
             },
         }
-        self.fleet.apply_tree(tree)
+        self.fleet.apply_settings(tree)
         self.exits: Counter[str] = Counter()
 
     def test_it_is_quarantined_until_an_operator_releases_it(self) -> None:
-        responses = [self._send(number, DEADLY) for number in range(REQUEST_COUNT)]
+        responses = [self._send(number, CRASH_INPUT) for number in range(REQUEST_COUNT)]
         received = [(response.status, response.body) for response in responses]
         self.assertLessEqual(self.exits.total(), MAX_EXITS, received)
         self.assertEqual({response.status for response in responses[MAX_EXITS:]}, {503}, received)
@@ -58,13 +58,13 @@
 
     def _release(self) -> None:
         """List and release the request as an operator; an unknown fingerprint is refused."""
-        rows = json.loads(self.fleet.require("quarantine", "list", "--json"))
+        rows = json.loads(self.fleet.check_command("quarantine", "list", "--json"))
         self.assertEqual([row["ends"] >= 3 for row in rows], [True])
         fingerprint = rows[0]["fingerprint"]
         self.assertEqual(self.fleet.command("quarantine", "release", "f00").code, 2)
-        self.assertIn("released", self.fleet.require("quarantine", "release", fingerprint))
-        self.assertIn("not held", self.fleet.require("quarantine", "release", fingerprint))
-        self.assertEqual(json.loads(self.fleet.require("quarantine", "list", "--json")), [])
+        self.assertIn("released", self.fleet.check_command("quarantine", "release", fingerprint))
+        self.assertIn("not held", self.fleet.check_command("quarantine", "release", fingerprint))
+        self.assertEqual(json.loads(self.fleet.check_command("quarantine", "list", "--json")), [])
 
     def _send(self, number: int, text: str) -> Response:
         entry = self.fleet.entries()[number % 2].name
--- a/packages/damsonlane_bench/src/damsonlane_bench/tests/test_crash_requests.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/tests/test_crash_requests.py
@@ -16,8 +16,8 @@
 from typing import Any
 
 from damsonlane_bench.fleet import wait_until
-from damsonlane_bench.registered import Kind
-from damsonlane_bench.registered._target import DEADLY, EVENTS
+from damsonlane_bench.registered_target import TargetKind
+from damsonlane_bench.registered_target._target import CRASH_INPUT, EVENT_COUNT
 from damsonlane_bench.routes import RoutesFleet, make_document
 
 #: Number of times that the caller sends the request.
@@ -27,7 +27,7 @@
 MAX_EXITS = 4
 #: Seconds after which the supervisor restarts a target.
 RESTART_SECONDS = 0.3
-TARGETS: tuple[tuple[str, str, Kind], ...] = (
+TARGETS: tuple[tuple[str, str, TargetKind], ...] = (
     ("model-1", "model", "engine"),
     ("model-2", "model", "engine"),
     ("desk-1", "desk", "plain"),
@@ -91,7 +91,9 @@
             self._check_other_requests(route)
 
     def test_a_request_whose_pieces_crash_pool_targets(self) -> None:
-        statuses = [self._send_crash_request(n, "chat", key=DEADLY) for n in range(REQUEST_COUNT)]
+        statuses = [
+            self._send_crash_request(n, "chat", key=CRASH_INPUT) for n in range(REQUEST_COUNT)
+        ]
         self.assertLessEqual(self.supervisor.exits["encode"], MAX_EXITS, statuses)
         self.assertEqual(set(statuses), {503})
         self._check_other_requests("chat")
@@ -126,7 +128,7 @@
         status, data = self.fleet.call(
             entry, f"/{route}/a", request_id, body=body, **(headers if route == "chat" else {})
         )
-        is_complete = route != "chat" or data.count(b"data: token") == EVENTS
+        is_complete = route != "chat" or data.count(b"data: token") == EVENT_COUNT
         return 0 if status == 200 and not is_complete else status
 
     def _are_routes_served(self) -> bool:
@@ -138,7 +140,7 @@
 
     def _send_crash_request(self, number: int, route: str, *, key: str = "") -> int:
         """Send the crash request; return its status once all targets serve again."""
-        body = b"its pieces are deadly" if key else DEADLY.encode()
+        body = b"its pieces are deadly" if key else CRASH_INPUT.encode()
         status = self._call(number, route, body=body, key=key or "demo")
         wait_until(self._are_targets_back, "all targets serve again")
         return status
--- a/packages/damsonlane_bench/src/damsonlane_bench/tests/test_end_to_end.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/tests/test_end_to_end.py
@@ -34,7 +34,7 @@
 def _read_reported(fleet: Fleet) -> Counter[str]:
     """Return the attempts by stage and the tokens in the cost report."""
     reported: Counter[str] = Counter()
-    for row in json.loads(fleet.require("report", "cost", "--format=json")):
+    for row in json.loads(fleet.check_command("report", "cost", "--format=json")):
         reported[row["stage"]] += row["attempts"]
         reported["tokens"] += row["tokens"]
     return reported
--- a/packages/damsonlane_bench/src/damsonlane_bench/tests/test_fleet.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/tests/test_fleet.py
@@ -7,7 +7,7 @@
 import unittest
 from pathlib import Path
 
-from damsonlane_bench.fleet import Fleet, StuckError, take_address
+from damsonlane_bench.fleet import Fleet, WaitTimeoutError, allocate_address
 from damsonlane_bench.fleet._ports import reserve_port
 
 #: Program that prints whether it can reserve the port in its argument.
@@ -19,7 +19,7 @@
 
 class PortTest(unittest.TestCase):
     def test_another_process_cannot_reserve_an_unused_port(self) -> None:
-        port = take_address().rpartition(":")[2]
+        port = allocate_address().rpartition(":")[2]
         completed = subprocess.run(
             [sys.executable, "-c", _RESERVE_PROGRAM, port],
             capture_output=True,
@@ -29,11 +29,11 @@
         self.assertEqual(completed.stdout.strip(), "False")
 
     def test_a_port_is_reserved_once(self) -> None:
-        port = int(take_address().rpartition(":")[2])
+        port = int(allocate_address().rpartition(":")[2])
         self.assertFalse(reserve_port(port))
 
     def test_a_reserved_port_can_be_listened_on(self) -> None:
-        host, _, port = take_address().rpartition(":")
+        host, _, port = allocate_address().rpartition(":")
         with socket.create_server((host, int(port))) as server:
             self.assertEqual(server.getsockname()[1], int(port))
 
@@ -44,7 +44,9 @@
             box = fleet.controls()[0]
             box.settings_file.write_text("{")
             fleet.start(box.name)
-            with self.assertRaisesRegex(StuckError, "control-1 ended; its log ends: (.|\n)*json"):
+            with self.assertRaisesRegex(
+                WaitTimeoutError, "control-1 ended; its log ends: (.|\n)*json"
+            ):
                 fleet.wait_ready(box)
 
 
--- a/packages/damsonlane_bench/src/damsonlane_bench/tests/test_membership.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/tests/test_membership.py
@@ -29,7 +29,7 @@
         self.fleet.start_entries()
         self.fleet.wait_standins()
         pipelines = {"lookup": make_pipeline("lookup", fleet_in_flight=8)}
-        self.fleet.apply_tree(
+        self.fleet.apply_settings(
             {
                 "policy": {"deadline_seconds": 20.0},
                 "services": make_services(self.fleet.standins, "fukuoka-a"),
@@ -40,7 +40,7 @@
         )
 
     def _read_standings(self) -> dict[str, Any]:
-        rows = json.loads(self.fleet.require("control", "boxes", "--json"))
+        rows = json.loads(self.fleet.check_command("control", "boxes", "--json"))
         return {row["box"]: row["standing"] for row in rows}
 
     def _count_admitted(self, entry: str) -> int:
--- a/packages/damsonlane_bench/src/damsonlane_bench/tests/test_programs.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/tests/test_programs.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from damsonlane_bench.fleet import Fleet, find_program, take_address
+from damsonlane_bench.fleet import Fleet, allocate_address, find_program
 
 
 def _make_box_settings(folder: Path, **changes: Any) -> dict[str, Any]:
@@ -17,8 +17,8 @@
         "data_centre": "johar",
         "role": "control",
         "data_folder": str(folder / "data"),
-        "internal_address": take_address(),
-        "admin_address": take_address(),
+        "internal_address": allocate_address(),
+        "admin_address": allocate_address(),
         "control": [],
     }
     return settings | changes
--- a/packages/damsonlane_bench/src/damsonlane_bench/tests/test_requests.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/tests/test_requests.py
@@ -57,7 +57,7 @@
         cls.fleet.start_control_group()
         cls.fleet.start_entries()
         cls.fleet.wait_standins()
-        cls.fleet.apply_tree(_make_tree(cls.fleet.standins))
+        cls.fleet.apply_settings(_make_tree(cls.fleet.standins))
 
     def setUp(self) -> None:
         self.pool = ThreadPoolExecutor(_CONCURRENT_REQUESTS)
@@ -130,10 +130,10 @@
 
     def test_an_entry_frozen_and_thawed_in_a_storm_runs_nothing_twice(self) -> None:
         process = self.fleet.processes["entry-1"]
-        timer = threading.Timer(2.0, process.thaw)
+        timer = threading.Timer(2.0, process.resume)
 
         def freeze() -> None:
-            process.freeze()
+            process.suspend()
             timer.start()
 
         self._resend_during_fault("freeze", freeze)
@@ -142,7 +142,7 @@
     def test_killing_the_control_leader_under_load_runs_no_request_twice(self) -> None:
         leader = next(
             row["replica"].rpartition(".")[0]
-            for row in json.loads(self.fleet.require("control", "status", "--json"))
+            for row in json.loads(self.fleet.check_command("control", "status", "--json"))
             if row["standing"] == "leader"
         )
         self._resend_during_fault("leader", lambda: self.fleet.kill(leader))
@@ -180,13 +180,13 @@
     def test_without_a_quorum_only_repeatable_requests_are_served(self) -> None:
         names = [box.name for box in self.fleet.controls()][:2]
         for name in names:
-            self.fleet.processes[name].freeze()
+            self.fleet.processes[name].suspend()
         short = {"Damsonlane-Deadline-Ms": "500"}
         resent = self._confirm("entry-1", "no-quorum", **short)
         first = self._confirm("entry-1", "no-quorum-2", **short, **{"Damsonlane-Resend": "no"})
         lookup = self.fleet.call("entry-1", "lookup", "still here", token=_NORTH)
         for name in names:
-            self.fleet.processes[name].thaw()
+            self.fleet.processes[name].resume()
         self.assertEqual((resent.status, resent.body["run"]), (503, "unknown"))
         self.assertEqual((first.status, first.body["run"]), (503, "no"))
         self.assertEqual(lookup.status, 200)
--- a/packages/damsonlane_bench/src/damsonlane_bench/tests/test_sighup_at_start.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/tests/test_sighup_at_start.py
@@ -18,10 +18,10 @@
             for name in ("control-1", "entry-1"):
                 fleet.start(name, is_first_start=True)
                 process = fleet.processes[name]
-                wait_until(process.has_written, f"{name} has written to its log")
-                while '"started"' not in process.read_log_end() and process.is_running():
+                wait_until(process.has_output, f"{name} has written to its log")
+                while '"started"' not in process.read_log_tail() and process.is_running():
                     process.signal(signal.SIGHUP)
-                self.assertTrue(process.is_running(), process.read_log_end())
+                self.assertTrue(process.is_running(), process.read_log_tail())
 
 
 if __name__ == "__main__":
