--- a/packages/damsonlane_cli/src/damsonlane_cli/_reports.py
+++ b/packages/damsonlane_cli/src/damsonlane_cli/_reports.py
@@ -98,11 +98,11 @@
             Path(plot).write_bytes(draw_attainment(view.endings, time.time()))
 
 
-def _measure_burns(endings: Sequence[CompletionCount], tree: SettingsTree) -> list[Burn]:
+def _measure_burns(counts: Sequence[CompletionCount], tree: SettingsTree) -> list[Burn]:
     burns: list[Burn] = []
     for organisation, settings in tree.organisations.items():
         for pipeline in settings.pipelines:
-            own = [e for e in endings if (e.organisation, e.pipeline) == (organisation, pipeline)]
+            own = [c for c in counts if (c.organisation, c.pipeline) == (organisation, pipeline)]
             objective = tree.policy_of("", organisation, pipeline).objective
             for window in _list_all_windows(tree, f"{organisation}/{pipeline}"):
                 burns.extend(measure_burn(own, window, objective))
@@ -130,11 +130,11 @@
     }
 
 
-def draw_attainment(endings: Sequence[CompletionCount], now: float) -> bytes:
+def draw_attainment(counts: Sequence[CompletionCount], now: float) -> bytes:
     """Return a plot of attainment by minute as SVG, with one line for each pipeline.
 
     Args:
-        endings: counts of completed requests.
+        counts: counts of completed requests.
         now: end of the plot, in seconds since 1970.
     """
     newest_start = int(now) - int(now) % FINE_BUCKET_SECONDS
@@ -150,9 +150,9 @@
     )
     chart.x_labels = [time.strftime("%H:%M", time.gmtime(start)) for start in starts]
     chart.x_labels_major = list(chart.x_labels)[::10]
-    fine = [ending for ending in endings if ending.length == FINE_BUCKET_SECONDS]
-    for name in sorted({f"{ending.organisation}/{ending.pipeline}" for ending in fine}):
-        counts_by_start = {e.start: e for e in fine if f"{e.organisation}/{e.pipeline}" == name}
+    fine = [count for count in counts if count.length == FINE_BUCKET_SECONDS]
+    for name in sorted({f"{count.organisation}/{count.pipeline}" for count in fine}):
+        counts_by_start = {c.start: c for c in fine if f"{c.organisation}/{c.pipeline}" == name}
         chart.add(name, [_attained_percent(counts_by_start.get(start)) for start in starts])
     return bytes(chart.render())
 
