--- a/packages/damsonlane_bench/src/damsonlane_bench/fleet/_fleet.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/fleet/_fleet.py
@@ -83,7 +83,7 @@
         folder.mkdir(parents=True, exist_ok=True)
         self._election_seconds: Final = election_seconds
         self._box_settings: Final = dict(box_settings or {})
-        self._keys: Final = CertificateIssuer(folder / "keys") if with_tls else None
+        self._issuer: Final = CertificateIssuer(folder / "keys") if with_tls else None
         self._data_centres: Final = data_centres
         self.processes: dict[str, Process] = {}
         self.standins: dict[str, str] = {}
@@ -287,7 +287,7 @@
         for box in self.boxes.values():
             box.settings_file.write_text(json.dumps(self._make_settings(box, control), indent=2))
         operator: dict[str, Any] = {"control": control}
-        if self._keys:
+        if self._issuer:
             operator["tls"] = dataclasses.asdict(self._sign("operator"))
         (self.folder / "operator.json").write_text(json.dumps(operator, indent=2))
 
@@ -307,13 +307,13 @@
             settings["caller_address"] = box.caller_address
             others = [other for other in self.entries() if other.name != box.name]
             settings["peers"] = [other.internal_address for other in others]
-        if self._keys:
+        if self._issuer:
             settings["tls"] = dataclasses.asdict(self._sign(box.name))
         return settings
 
     def _sign(self, name: str) -> TlsFiles:
-        assert self._keys is not None
-        return self._keys.sign(name)
+        assert self._issuer is not None
+        return self._issuer.sign(name)
 
 
 def _is_ok(url: str) -> bool:
--- a/packages/damsonlane_bench/src/damsonlane_bench/load/_plan.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/load/_plan.py
@@ -63,18 +63,18 @@
 
 
 def plan_arrivals(
-    wave: LoadProfile, classes: Sequence[RequestClass], seed: int
+    profile: LoadProfile, classes: Sequence[RequestClass], seed: int
 ) -> tuple[Arrival, ...]:
-    """Return the arrivals of a Poisson process with the rates of a wave, drawn with a seed."""
+    """Return arrivals of a Poisson process with the rates of a profile, drawn with a seed."""
     randomness = random.Random(seed)
-    highest = max(wave.base_rate, wave.peak_rate)
+    highest = max(profile.base_rate, profile.peak_rate)
     shares = [request_class.share for request_class in classes]
     arrivals: list[Arrival] = []
     at = 0.0
-    while (at := at + randomness.expovariate(highest)) < wave.length():
+    while (at := at + randomness.expovariate(highest)) < profile.length():
         # Thinning: candidates arrive at the highest rate and are accepted in proportion to the rate
         # at their time.
-        if randomness.random() * highest < wave.rate_at(at):
+        if randomness.random() * highest < profile.rate_at(at):
             request_class = randomness.choices(list(classes), shares)[0]
             arrivals.append(Arrival(at=at, request_class=request_class, number=len(arrivals)))
     return tuple(arrivals)
--- a/packages/damsonlane_bench/src/damsonlane_bench/overhead.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/overhead.py
@@ -44,10 +44,10 @@
 
 def _make_tree(addresses: dict[str, str]) -> dict[str, object]:
     pipelines = {"whole": make_pipeline(*STAGES)}
-    owner = {"token_digests": [digest_token(_TOKEN)], "pipelines": pipelines}
+    organisation = {"token_digests": [digest_token(_TOKEN)], "pipelines": pipelines}
     return {
         "services": make_services(addresses, "fukuoka-a"),
-        "organisations": {"one": owner},
+        "organisations": {"one": organisation},
     }
 
 
--- a/packages/damsonlane_bench/src/damsonlane_bench/registered_target/_target.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/registered_target/_target.py
@@ -97,9 +97,9 @@
         self._backoff_until = 0.0
         self._is_draining = False
         self._rate_limits = itertools.cycle(RATE_LIMITS)
-        self._limit_header = ""
+        self._rate_limit_header = ""
         self._rate_limit: float | None = None
-        self._has_announced_limit = False
+        self._has_announced_rate_limit = False
         #: Ids of the requests that ran, in order.
         self.ran: list[str] = []
 
@@ -114,12 +114,12 @@
 
     def announce_next_rate_limit(self) -> None:
         """Announce the next rate limit in each response from now on."""
-        self._limit_header, self._rate_limit = next(self._rate_limits)
-        self._has_announced_limit = True
+        self._rate_limit_header, self._rate_limit = next(self._rate_limits)
+        self._has_announced_rate_limit = True
 
     def end_rate_limit(self) -> None:
         """Announce no rate limit from now on."""
-        self._limit_header, self._rate_limit = "", None
+        self._rate_limit_header, self._rate_limit = "", None
 
     def announce_draining(self) -> None:
         """Announce draining in each response, whether or not control replicas know of it."""
@@ -249,10 +249,12 @@
     def _make_headers(self, request: HttpRequest) -> tuple[tuple[bytes, bytes], ...]:
         request_id = request.find(b"damsonlane-request-id") or ""
         draining = ((b"Damsonlane-Leaving", b"1"),) if self._is_draining else ()
-        if self._has_announced_limit:
+        if self._has_announced_rate_limit:
             self._log_rate_limit(request_id)
         rate_limit = (
-            ((b"Damsonlane-Rate-Limit", self._limit_header.encode()),) if self._limit_header else ()
+            ((b"Damsonlane-Rate-Limit", self._rate_limit_header.encode()),)
+            if self._rate_limit_header
+            else ()
         )
         return (
             (b"Damsonlane-Request-Id", request_id.encode()),
--- a/packages/damsonlane_bench/src/damsonlane_bench/routes.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/routes.py
@@ -56,7 +56,7 @@
         targets: Sequence[str] = _TARGET_NAMES,
     ) -> None:
         self.folder: Final = folder
-        self._keys: Final = CertificateIssuer(folder / "keys")
+        self._issuer: Final = CertificateIssuer(folder / "keys")
         self.controls: Final = list(controls)
         self.entries: Final = list(entries)
         self.processes: Final[dict[str, Process]] = {}
@@ -199,7 +199,7 @@
             "control": seeds,
             "election_seconds": 0.4,
             "gateway": gateway,
-            "tls": dataclasses.asdict(self._keys.sign(name)),
+            "tls": dataclasses.asdict(self._issuer.sign(name)),
         }
         if is_control:
             settings["founding"] = {"seeds": seeds, "is_first_start": is_first_start}
--- a/packages/damsonlane_bench/src/damsonlane_bench/settings_trees.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/settings_trees.py
@@ -24,10 +24,10 @@
     for name, address in addresses.items():
         service = name.rpartition("-")[0]
         kind = {"generate": "engine", "terminal": "plain"}.get(service, "pool")
-        entry = services.setdefault(service, {"kind": kind, "targets": {}})
+        service_settings = services.setdefault(service, {"kind": kind, "targets": {}})
         if kind == "engine":
-            entry["model"] = "support"
-        entry["targets"][name] = {"address": address, "data_centre": data_centre}
+            service_settings["model"] = "support"
+        service_settings["targets"][name] = {"address": address, "data_centre": data_centre}
     return services
 
 
--- a/packages/damsonlane_bench/src/damsonlane_bench/soak/_rate_limit_check.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/soak/_rate_limit_check.py
@@ -47,21 +47,25 @@
 
 @guarantee("all entries together stay within the rate limit of a target")
 def _check_rate_limits(observations: Observations, runs: Sequence[TargetRun]) -> Iterator[str]:
-    for target in {limit.target for limit in observations.rate_limits}:
-        rate_limits = [limit for limit in observations.rate_limits if limit.target == target]
-        rate_limits.sort(key=lambda limit: limit.at)
+    for target in {announcement.target for announcement in observations.rate_limits}:
+        announcements = [
+            announcement
+            for announcement in observations.rate_limits
+            if announcement.target == target
+        ]
+        announcements.sort(key=lambda announcement: announcement.at)
         arrivals = [arrival for arrival in observations.arrivals if arrival.target == target]
         counted = [
-            arrival.at for arrival in arrivals if _is_counted(arrival, rate_limits, observations)
+            arrival.at for arrival in arrivals if _is_counted(arrival, announcements, observations)
         ]
         fault_times = _list_service_fault_times(target, observations)
-        worst = _find_worst_window(sorted(counted), rate_limits, fault_times)
+        worst = _find_worst_window(sorted(counted), announcements, fault_times)
         if worst:
             yield f"{target}: {worst}"
 
 
 def _is_counted(
-    arrival: Arrival, limits: Sequence[RateLimitAnnouncement], observations: Observations
+    arrival: Arrival, announcements: Sequence[RateLimitAnnouncement], observations: Observations
 ) -> bool:
     """Return whether a request came from an entry that had received an announcement.
 
@@ -70,7 +74,9 @@
     """
     knowledge = _EntryKnowledge(
         at=[
-            limit.at for limit in limits if limit.entry == arrival.entry and limit.rate is not None
+            announcement.at
+            for announcement in announcements
+            if announcement.entry == arrival.entry and announcement.rate is not None
         ],
         fault_times=sorted(
             event.at
@@ -95,13 +101,15 @@
 
 
 def _find_worst_window(
-    counted: Sequence[float], limits: Sequence[RateLimitAnnouncement], fault_times: Sequence[float]
+    counted: Sequence[float],
+    announcements: Sequence[RateLimitAnnouncement],
+    fault_times: Sequence[float],
 ) -> str:
     """Return a description of the window that exceeds its limit most; empty if none does."""
     worst = ""
     most = 0.0
     for begin in counted:
-        rate = _find_rate(limits, begin)
+        rate = _find_rate(announcements, begin)
         has_fault = bisect_left(fault_times, begin) != bisect_left(
             fault_times, begin + WINDOW_SECONDS
         )
@@ -117,16 +125,19 @@
     return worst
 
 
-def _find_rate(limits: Sequence[RateLimitAnnouncement], begin: float) -> float | None:
+def _find_rate(announcements: Sequence[RateLimitAnnouncement], begin: float) -> float | None:
     """Return the highest rate limit in force in a window; None if at some time there was none.
 
     The last announcement before the window is in force when the window begins.
     """
-    times = [limit.at for limit in limits]
-    limited = [limit for limit in limits if limit.rate is not None]
-    if not limited or begin < limited[0].at + PROPAGATION_SECONDS:
+    times = [announcement.at for announcement in announcements]
+    limiting = [announcement for announcement in announcements if announcement.rate is not None]
+    if not limiting or begin < limiting[0].at + PROPAGATION_SECONDS:
         return None
     first = max(0, bisect_right(times, begin) - 1)
-    in_force = [limit.rate for limit in limits[first : bisect_right(times, begin + WINDOW_SECONDS)]]
+    in_force = [
+        announcement.rate
+        for announcement in announcements[first : bisect_right(times, begin + WINDOW_SECONDS)]
+    ]
     rates = [rate for rate in in_force if rate is not None]
     return max(rates) if rates and len(rates) == len(in_force) else None
--- a/packages/damsonlane_bench/src/damsonlane_bench/standin/_server.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/standin/_server.py
@@ -38,7 +38,7 @@
         self.behaviour = behaviour
         self.counter: Final = ExecutionCounter()
         self._lock: Final = threading.Lock()
-        self._held = 0
+        self._in_flight = 0
         self._count = 0
         self._slots = threading.Semaphore(behaviour.slots)
 
@@ -58,7 +58,7 @@
         if behaviour.is_leaving or behaviour.is_refusing:
             return self._reject(start, behaviour)
         with self._lock:
-            self._held += 1
+            self._in_flight += 1
             self._count += 1
             count = self._count
         if path == "/v1/completions":
@@ -138,11 +138,11 @@
 
     def _release(self) -> None:
         with self._lock:
-            self._held -= 1
+            self._in_flight -= 1
 
     def _load_header(self) -> tuple[str, str]:
         with self._lock:
-            load = {"held": self._held, "slots": self.behaviour.slots}
+            load = {"held": self._in_flight, "slots": self.behaviour.slots}
         return ("Damsonlane-Load", json.dumps(load))
 
     def _change_behaviour(self, fields: dict[str, Any]) -> None:
@@ -156,7 +156,7 @@
             {**asdict(execution), "count": count}
             for execution, count in self.counter.executions().items()
         ]
-        return {"executions": executions, "tokens": self.counter.tokens, "held": self._held}
+        return {"executions": executions, "tokens": self.counter.tokens, "held": self._in_flight}
 
     def _respond_json(
         self, start: Any, body: dict[str, Any], status: str = "200 OK"
--- a/packages/damsonlane_bench/src/damsonlane_bench/tests/test_requests.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/tests/test_requests.py
@@ -132,11 +132,11 @@
         process = self.fleet.processes["entry-1"]
         timer = threading.Timer(2.0, process.resume)
 
-        def freeze() -> None:
+        def suspend() -> None:
             process.suspend()
             timer.start()
 
-        self._resend_during_fault("freeze", freeze)
+        self._resend_during_fault("freeze", suspend)
         timer.join()
 
     def test_killing_the_control_leader_under_load_runs_no_request_twice(self) -> None:
