--- a/packages/damsonlane_bench/src/damsonlane_bench/overhead.py
+++ b/packages/damsonlane_bench/src/damsonlane_bench/overhead.py
@@ -37,17 +37,17 @@
         fleet.start_control_group()
         fleet.start_entries()
         fleet.wait_standins()
-        fleet.apply_tree(_make_tree(fleet.standins))
+        fleet.apply_settings(_make_tree(fleet.standins))
         for repeat in range(1, repeats + 1):
             print(f"repeat {repeat}: {_measure_once(fleet)}")
 
 
 def _make_tree(addresses: dict[str, str]) -> dict[str, object]:
     pipelines = {"whole": make_pipeline(*STAGES)}
-    owner = {"token_digests": [digest_token(_TOKEN)], "pipelines": pipelines}
+    organisation = {"token_digests": [digest_token(_TOKEN)], "pipelines": pipelines}
     return {
         "services": make_services(addresses, "fukuoka-a"),
-        "organisations": {"one": owner},
+        "organisations": {"one": organisation},
     }
 
 
