--- a/packages/damsonlane/src/damsonlane/pools/_queue.py
+++ b/packages/damsonlane/src/damsonlane/pools/_queue.py
@@ -126,7 +126,7 @@
         for stage in sorted(stages, key=lambda stage: _priority_key(stage, priorities[stage.rank])):
             is_scheduled = schedule.try_add(stage, shares[stage.rank])
             (in_time if is_scheduled else not_in_time).append(stage)
-        in_time.sort(key=lambda stage: stage.aim_at)
+        in_time.sort(key=lambda stage: stage.objective_at)
         not_in_time.sort(key=_late_key)
         return _Evaluation(in_time=in_time, not_in_time=not_in_time)
 
@@ -180,12 +180,12 @@
 
     Late retries go last within their rank, since they miss their latency objective anyway.
     """
-    return (priority, stage.pieces[0].order.is_late_return, stage.aim_at)
+    return (priority, stage.pieces[0].order.is_late_return, stage.objective_at)
 
 
 def _late_key(stage: WaitingStage) -> tuple[bool, int, float]:
     """Return the sort key of a stage that misses its latency objective; the least goes first."""
-    return (stage.is_unstarted, stage.rank, stage.aim_at)
+    return (stage.is_unstarted, stage.rank, stage.objective_at)
 
 
 def _list_pieces(stages: Sequence[WaitingStage]) -> list[WaitingPiece]:
--- a/packages/damsonlane/src/damsonlane/pools/_schedule.py
+++ b/packages/damsonlane/src/damsonlane/pools/_schedule.py
@@ -32,7 +32,7 @@
         return self.pieces[0].order.rank
 
     @property
-    def aim_at(self) -> float:
+    def objective_at(self) -> float:
         """When the results must be available to meet the latency objective."""
         return self.pieces[0].objective_at
 
@@ -73,7 +73,7 @@
         Returns:
             Whether the stage can be in time.
         """
-        step = self._find_step(stage.aim_at)
+        step = self._find_step(stage.objective_at)
         if step < 0:
             return False
         count = len(stage.pieces)
--- a/packages/damsonlane/src/damsonlane/pools/tests/simulation.py
+++ b/packages/damsonlane/src/damsonlane/pools/tests/simulation.py
@@ -42,7 +42,7 @@
     #: Time of one piece, in seconds.
     piece_seconds: float = 0.034
     #: Result memory of a target, in bytes.
-    room: int = 11_250_000
+    result_memory_bytes: int = 11_250_000
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -163,7 +163,9 @@
         self._counter: Final = itertools.count()
         self._requests: dict[str, _Request] = {}
         pool = pattern.pool
-        self._memories: Final = [ResultMemory(pool.room, KEEP_SECONDS) for _ in pool.data_centres]
+        self._memories: Final = [
+            ResultMemory(pool.result_memory_bytes, KEEP_SECONDS) for _ in pool.data_centres
+        ]
         self._free_at: Final = [0.0 for _ in pool.data_centres]
         self._is_busy: Final = [False for _ in pool.data_centres]
         self._throughput: Final = ThroughputEstimate()
--- a/packages/damsonlane/src/damsonlane/pools/tests/test_load_patterns.py
+++ b/packages/damsonlane/src/damsonlane/pools/tests/test_load_patterns.py
@@ -74,7 +74,9 @@
 class LeastUrgentTest(unittest.TestCase):
     """A load peak of one class, beside a less urgent one, at a pool short of result memory."""
 
-    POOL = Pool(data_centres=("a", "b"), batch=47, piece_seconds=0.0036, room=6_110_000)
+    POOL = Pool(
+        data_centres=("a", "b"), batch=47, piece_seconds=0.0036, result_memory_bytes=6_110_000
+    )
     PEAKING = RequestClass(
         rank=5, rate=18.0, pieces=(4, 5, 6, 7, 8), result_bytes=60_000, aim_seconds=2.0
     )
@@ -116,7 +118,7 @@
 
     def test_a_wait_longer_than_one_call_keeps_pieces_with_their_inputs(self) -> None:
         """A shorter wait sends pieces away whenever a call has just begun at their inputs."""
-        pool = Pool(batch=33, piece_seconds=0.0052, room=10**9)
+        pool = Pool(batch=33, piece_seconds=0.0052, result_memory_bytes=10**9)
         request_class = RequestClass(
             rank=1,
             rate=14.0,
@@ -139,7 +141,7 @@
     """Scarce result memory keeps the throughput of a pool below its nominal throughput."""
 
     def test_requests_beyond_the_measured_throughput_are_refused_earlier(self) -> None:
-        limited = replace(PEAK_OF_LARGE, pool=Pool(room=6_100_000))
+        limited = replace(PEAK_OF_LARGE, pool=Pool(result_memory_bytes=6_100_000))
         nominal = simulate(replace(limited, uses_measured_throughput=False), SEEDS)
         measured = simulate(limited, SEEDS)
         self.assertLess(sum(o.late for o in measured), sum(o.late for o in nominal))
--- a/packages/damsonlane/src/damsonlane/pools/tests/test_queue.py
+++ b/packages/damsonlane/src/damsonlane/pools/tests/test_queue.py
@@ -30,10 +30,10 @@
 
 
 def make_piece(
-    number: int, *, aim_at: float = 1.0, due_at: float = 5.0, rank: int = 0
+    number: int, *, objective_at: float = 1.0, due_at: float = 5.0, rank: int = 0
 ) -> WaitingPiece:
     order = replace(ORDER, number=number, request=f"r{number}", rank=rank)
-    return WaitingPiece(order=order, sender="e1", deadline_at=due_at, objective_at=aim_at)
+    return WaitingPiece(order=order, sender="e1", deadline_at=due_at, objective_at=objective_at)
 
 
 CAPACITY = CallCapacity(
@@ -59,32 +59,32 @@
         self.queue = PieceQueue()
 
     def test_the_earliest_objective_goes_first(self) -> None:
-        for number, aim_at in ((1, 3.0), (2, 1.0), (3, 2.0)):
-            self.queue.add(make_piece(number, aim_at=aim_at))
+        for number, objective_at in ((1, 3.0), (2, 1.0), (3, 2.0)):
+            self.queue.add(make_piece(number, objective_at=objective_at))
         self.assertEqual(select(self.queue, limit=2), [2, 3])
         self.assertEqual(select(self.queue), [1])
 
     def test_a_piece_that_misses_its_objective_goes_after_others(self) -> None:
-        self.queue.add(make_piece(1, aim_at=0.1))
-        self.queue.add(make_piece(2, aim_at=4.0))
+        self.queue.add(make_piece(1, objective_at=0.1))
+        self.queue.add(make_piece(2, objective_at=4.0))
         self.assertEqual(select(self.queue), [2, 1])
 
     def test_late_pieces_go_after_all_that_can_meet_their_objective(self) -> None:
         begun = replace(ORDER, number=1, inputs=("h",))
         self.queue.add(WaitingPiece(order=begun, sender="e1", deadline_at=99.0, objective_at=0.1))
-        self.queue.add(make_piece(2, aim_at=90.0, due_at=99.0, rank=9))
-        self.queue.add(make_piece(3, aim_at=0.05, due_at=99.0))
+        self.queue.add(make_piece(2, objective_at=90.0, due_at=99.0, rank=9))
+        self.queue.add(make_piece(3, objective_at=0.05, due_at=99.0))
         self.assertEqual(select(self.queue), [2, 1, 3])
 
     def test_rank_does_not_affect_the_order_of_pieces_in_time(self) -> None:
-        self.queue.add(make_piece(1, aim_at=2.0, rank=0))
-        self.queue.add(make_piece(2, aim_at=1.0, rank=9))
+        self.queue.add(make_piece(1, objective_at=2.0, rank=0))
+        self.queue.add(make_piece(2, objective_at=1.0, rank=9))
         self.assertEqual(select(self.queue, limit=1), [2])
         self.assertEqual(select(self.queue, limit=1), [1])
 
     def test_rank_decides_what_is_refused(self) -> None:
         for number, rank in ((1, 2), (2, 0), (3, 1)):
-            self.queue.add(make_piece(number, aim_at=0.3, rank=rank))
+            self.queue.add(make_piece(number, objective_at=0.3, rank=rank))
         selection = self.queue.select(0.0, replace(CAPACITY, batch=1))
         self.assertEqual([piece.order.number for piece in selection.batch], [2])
         self.assertEqual([piece.order.number for piece in selection.late], [3, 1])
@@ -98,20 +98,20 @@
 
     def test_pieces_that_would_be_late_after_others_are_refused_at_once(self) -> None:
         for number in range(5):
-            self.queue.add(make_piece(number, aim_at=0.3 + number / 100))
+            self.queue.add(make_piece(number, objective_at=0.3 + number / 100))
         selection = self.queue.select(0.0, replace(CAPACITY, batch=2, busy_seconds=(0.0, 0.0)))
         self.assertEqual([piece.order.number for piece in selection.batch], [0, 1])
         self.assertEqual([piece.order.number for piece in selection.late], [4])
 
     def test_begun_late_requests_are_abandoned_unless_their_caller_waited_long(self) -> None:
         begun = replace(ORDER, number=9, inputs=("h",))
-        for give_up_until, late in ((0.5, [9]), (0.0, [])):
-            with self.subTest(give_up_until=give_up_until):
+        for abandonable_until, late in ((0.5, [9]), (0.0, [])):
+            with self.subTest(abandonable_until=abandonable_until):
                 queue = PieceQueue()
                 for number in range(2):
-                    queue.add(make_piece(number, aim_at=9.0, due_at=20.0))
+                    queue.add(make_piece(number, objective_at=9.0, due_at=20.0))
                 piece = WaitingPiece(order=begun, sender="e1", deadline_at=20.0, objective_at=0.1)
-                queue.add(replace(piece, abandonable_until=give_up_until))
+                queue.add(replace(piece, abandonable_until=abandonable_until))
                 selection = queue.select(0.0, replace(CAPACITY, batch=2))
                 self.assertEqual([piece.order.number for piece in selection.batch], [0, 1])
                 self.assertEqual([piece.order.number for piece in selection.late], late)
@@ -122,10 +122,10 @@
             ("no usable target, no time for a call", 0, 0.2, [1]),
             ("no usable target, time for a call", 0, 0.35, []),
         )
-        for name, targets, aim_at, expected in cases:
+        for name, targets, objective_at, expected in cases:
             with self.subTest(name):
                 queue = PieceQueue()
-                queue.add(make_piece(1, aim_at=aim_at))
+                queue.add(make_piece(1, objective_at=objective_at))
                 late = queue.take_late(
                     0.0, replace(CAPACITY, busy_seconds=(0.0,) * targets, result_memory_bytes=0)
                 )
@@ -134,7 +134,7 @@
 
     def test_a_request_with_computed_stages_is_not_refused_for_its_objective(self) -> None:
         for number in range(4):
-            self.queue.add(make_piece(number, aim_at=9.0, due_at=20.0))
+            self.queue.add(make_piece(number, objective_at=9.0, due_at=20.0))
         for number, is_begun in ((8, True), (9, False)):
             order = replace(ORDER, number=number, request=f"r{number}", is_begun=is_begun)
             self.queue.add(
@@ -146,7 +146,7 @@
 
     def test_begun_requests_are_finished_even_if_late(self) -> None:
         for number in range(4):
-            self.queue.add(make_piece(number, aim_at=0.1))
+            self.queue.add(make_piece(number, objective_at=0.1))
         begun = replace(ORDER, number=9, inputs=("h",))
         self.queue.add(WaitingPiece(order=begun, sender="e1", deadline_at=5.0, objective_at=0.1))
         selection = self.queue.select(0.0, replace(CAPACITY, batch=1))
@@ -162,12 +162,14 @@
             ("inputs where no target is free for long", "model-town", 9.0, True),
             ("little data to transfer", "", 9.0, True),
         )
-        for name, home, aim_at, is_run in cases:
+        for name, home, objective_at, is_run in cases:
             with self.subTest(name):
                 queue = PieceQueue()
                 order = replace(ORDER, home=home, inputs=("h",))
                 queue.add(
-                    WaitingPiece(order=order, sender="e1", deadline_at=20.0, objective_at=aim_at)
+                    WaitingPiece(
+                        order=order, sender="e1", deadline_at=20.0, objective_at=objective_at
+                    )
                 )
                 self.assertEqual(bool(select(queue)), is_run)
 
@@ -179,14 +181,14 @@
             ("no time to wait", 5, 1000, 0.4, [1, 2, 3, 4, 5]),
             ("too large for any call", 2, 1000, 9.0, [1, 2]),
         )
-        for name, limit, result_memory, aim_at, expected in cases:
+        for name, limit, result_memory, objective_at, expected in cases:
             with self.subTest(name):
                 queue = PieceQueue()
                 for number in range(1, 7):
                     order = replace(ORDER, number=number, request="ab"[number > 3])
                     queue.add(
                         WaitingPiece(
-                            order=order, sender="e1", deadline_at=20.0, objective_at=aim_at
+                            order=order, sender="e1", deadline_at=20.0, objective_at=objective_at
                         )
                     )
                 self.assertEqual(select(queue, limit=limit, result_memory=result_memory), expected)
@@ -211,10 +213,10 @@
     def test_the_forecast_grows_with_recent_work_of_higher_priority(self) -> None:
         capacity = replace(CAPACITY, batch=100)
         for number in range(100):
-            self.queue.add(make_piece(number, aim_at=9.0, due_at=20.0))
+            self.queue.add(make_piece(number, objective_at=9.0, due_at=20.0))
         self.assertEqual(len(self.queue.select(0.0, capacity).batch), 100)
         for number in range(100, 120):
-            self.queue.add(make_piece(number, aim_at=9.0, due_at=20.0, rank=1))
+            self.queue.add(make_piece(number, objective_at=9.0, due_at=20.0, rank=1))
         usual = self.queue.estimate_wait(
             0.0, capacity, replace(LATEST, rank=0, aim_left_seconds=19.0)
         )
@@ -229,12 +231,12 @@
 
     def test_the_forecast_ignores_late_pieces(self) -> None:
         for number in range(20):
-            self.queue.add(make_piece(number, aim_at=0.1 if number < 10 else 9.0))
+            self.queue.add(make_piece(number, objective_at=0.1 if number < 10 else 9.0))
         self.assertAlmostEqual(self.queue.estimate_wait(0.0, CAPACITY, LATEST), 0.3)
 
     def test_the_forecast_ignores_pieces_with_later_objectives(self) -> None:
         for number in range(20):
-            self.queue.add(make_piece(number, aim_at=2.0 if number < 5 else 4.0))
+            self.queue.add(make_piece(number, objective_at=2.0 if number < 5 else 4.0))
         for aim_left, seconds in ((1.0, 0.0), (3.0, 0.15), (5.0, 0.6)):
             with self.subTest(aim_left=aim_left):
                 order = replace(ORDER, aim_left_seconds=aim_left)
@@ -266,7 +268,7 @@
 
     def test_a_piece_is_queued_only_once(self) -> None:
         self.queue.add(make_piece(1))
-        self.queue.add(make_piece(1, aim_at=0.0))
+        self.queue.add(make_piece(1, objective_at=0.0))
         self.assertEqual(select(self.queue), [1])
 
     def test_withdrawn_pieces_do_not_run(self) -> None:
@@ -284,7 +286,7 @@
             with self.subTest(share=share):
                 queue = PieceQueue()
                 for number in range(1, 5):
-                    queue.add(make_piece(number, aim_at=0.5))
+                    queue.add(make_piece(number, objective_at=0.5))
                 capacity = replace(CAPACITY, batch=2, throughput_ratio=share)
                 selection = queue.select(0.0, capacity)
                 self.assertEqual([piece.order.number for piece in selection.late], late)
@@ -309,7 +311,7 @@
             self.queue.add(make_piece(1))
 
     def test_late_pieces_run_where_a_target_is_free_now(self) -> None:
-        self.queue.add(make_piece(1, aim_at=-1.0))
+        self.queue.add(make_piece(1, objective_at=-1.0))
         limited = replace(CAPACITY, batch=1, busy_seconds=(0.0,), call_interval_seconds=(20.0,))
         selection = self.queue.select(0.0, limited)
         self.assertEqual((len(selection.batch), selection.late), (1, ()))
@@ -322,8 +324,8 @@
 
     def test_pieces_in_time_with_the_next_call_are_kept(self) -> None:
         """The next call may lie beyond the planning horizon of a pool without rate limits."""
-        self.queue.add(make_piece(1, aim_at=10.0, due_at=12.0))
-        self.queue.add(make_piece(2, aim_at=3.0))
+        self.queue.add(make_piece(1, objective_at=10.0, due_at=12.0))
+        self.queue.add(make_piece(2, objective_at=3.0))
         limited = replace(CAPACITY, batch=1, busy_seconds=(6.0,), call_interval_seconds=(8.0,))
         late = self.queue.take_late(0.0, limited)
         self.assertEqual([piece.order.number for piece in late], [2])
--- a/packages/damsonlane/src/damsonlane/requests/tests/machine.py
+++ b/packages/damsonlane/src/damsonlane/requests/tests/machine.py
@@ -95,7 +95,7 @@
         """One handling runs to its completion without a fault."""
         waiting = self.world.open_handlings()
         handling = waiting[pick % len(waiting)]
-        while handling.ending is None:
+        while handling.outcome is None:
             if isinstance(handling.effect, CommitToLedger):
                 self.world.answer_ledger(handling, "commit")
             elif isinstance(handling.effect, Send):
--- a/packages/damsonlane/src/damsonlane/requests/tests/session.py
+++ b/packages/damsonlane/src/damsonlane/requests/tests/session.py
@@ -311,10 +311,10 @@
     return WorkClass(organisation=request.organisation, pipeline=request.pipeline, stage=stage)
 
 
-def _describe(ending: Outcome) -> dict[str, Any]:
-    if isinstance(ending, Refusal):
-        return {"refused": ending.reason, "run": ending.run}
-    answer = decode_answer(ending.answer) if isinstance(ending, StoredAnswer) else ending
+def _describe(outcome: Outcome) -> dict[str, Any]:
+    if isinstance(outcome, Refusal):
+        return {"refused": outcome.reason, "run": outcome.run}
+    answer = decode_answer(outcome.answer) if isinstance(outcome, StoredAnswer) else outcome
     return {
         "output": answer.output,
         "targets": [f"{stage.target} x{stage.attempts}" for stage in answer.stages],
--- a/packages/damsonlane/src/damsonlane/requests/tests/world.py
+++ b/packages/damsonlane/src/damsonlane/requests/tests/world.py
@@ -113,7 +113,7 @@
     request: Request
     run: RequestStateMachine
     effect: Effect
-    ending: Outcome | None = None
+    outcome: Outcome | None = None
 
 
 @dataclass(frozen=True)
@@ -170,7 +170,7 @@
 
     def open_handlings(self) -> list[Handling]:
         """Return the handlings that have not ended."""
-        return [handling for handling in self.handlings if handling.ending is None]
+        return [handling for handling in self.handlings if handling.outcome is None]
 
     def answer_ledger(self, handling: Handling, how: str) -> None:
         """Answer a handling that asks the ledger."""
@@ -245,18 +245,18 @@
         assert not self._was_refused_as_not_run(handling), "a handling ran after it said 'not run'"
 
     def _was_refused_as_not_run(self, handling: Handling) -> bool:
-        return isinstance(handling.ending, Refusal) and handling.ending.run == "no"
+        return isinstance(handling.outcome, Refusal) and handling.outcome.run == "no"
 
     def _record_outcome(self, handling: Handling) -> None:
         if not isinstance(handling.effect, End):
             return
-        ending = handling.effect.billed.outcome
-        handling.ending = ending
-        if isinstance(ending, Refusal):
-            if ending.run == "no":
+        outcome = handling.effect.billed.outcome
+        handling.outcome = outcome
+        if isinstance(outcome, Refusal):
+            if outcome.run == "no":
                 self._check_not_run(handling)
         else:
-            self._check_answer(handling, ending)
+            self._check_answer(handling, outcome)
 
     def _check_not_run(self, handling: Handling) -> None:
         """'Not run' covers this attempt of the caller and all earlier ones of the same request."""
@@ -269,8 +269,8 @@
             )
             assert not is_covered, f"'not run' is false: {ran}"
 
-    def _check_answer(self, handling: Handling, ending: Answer | StoredAnswer) -> None:
-        answer = decode_answer(ending.answer) if isinstance(ending, StoredAnswer) else ending
+    def _check_answer(self, handling: Handling, outcome: Answer | StoredAnswer) -> None:
+        answer = decode_answer(outcome.answer) if isinstance(outcome, StoredAnswer) else outcome
         expected = handling.request.text
         for stage in STAGES:
             expected = make_output(stage, expected)
--- a/packages/damsonlaned/src/damsonlaned/entry/_caller_application.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_caller_application.py
@@ -121,9 +121,9 @@
             detail = f"the stages need about {needed:.2f} s of the {remaining:.2f} s left"
             self._refuse(parsed, "deadline", detail, needed - allowed)
         with self._lock:
-            is_admitted = self._limits_in_flight.try_acquire(parsed.entrant, read_clock())
+            is_admitted = self._limits_in_flight.try_acquire(parsed.admission, read_clock())
         if not is_admitted:
-            self._refuse(parsed, "overloaded", f"lane '{parsed.entrant.lane}' is full")
+            self._refuse(parsed, "overloaded", f"lane '{parsed.admission.lane}' is full")
 
     def _refuse(
         self, parsed: ParsedRequest, reason: RefusalReason, detail: str, retry_after: float = 0.0
@@ -140,7 +140,7 @@
 
     def _release(self, parsed: ParsedRequest) -> None:
         with self._lock:
-            self._limits_in_flight.release(parsed.entrant)
+            self._limits_in_flight.release(parsed.admission)
 
     def _serve(
         self, parsed: ParsedRequest, start: StartResponse, arrived_at: float
--- a/packages/damsonlaned/src/damsonlaned/entry/_request_parser.py
+++ b/packages/damsonlaned/src/damsonlaned/entry/_request_parser.py
@@ -51,7 +51,7 @@
     #: The request.
     request: Request
     #: Its properties for admission control.
-    entrant: AdmissionRequest
+    admission: AdmissionRequest
     #: Whether the caller requested an event stream.
     is_streaming: bool
     #: The settings in force on its arrival, which apply until it completes.
@@ -107,7 +107,7 @@
         digest=hashlib.sha256(f"{name}\0{text}".encode()).hexdigest(),
         is_first_send=str(environment.get(RESEND_HEADER, "")).strip().lower() == "no",
     )
-    entrant = AdmissionRequest(
+    admission = AdmissionRequest(
         organisation=organisation,
         lane=policy.lane,
         weight=policy.weight,
@@ -117,7 +117,7 @@
     accepted = str(environment.get("HTTP_ACCEPT", ""))
     return ParsedRequest(
         request=request,
-        entrant=entrant,
+        admission=admission,
         is_streaming="text/event-stream" in accepted,
         settings=settings,
     )
--- a/packages/damsonlaned/src/damsonlaned/gateway/_attempt_history.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_attempt_history.py
@@ -64,30 +64,30 @@
             return max(MIN_ATTEMPT_SECONDS, ATTEMPT_SHARE * remaining)
         return remaining + _BEYOND_DEADLINE_SECONDS
 
-    def pause_seconds(self, *, has_begun: bool) -> float:
+    def pause_seconds(self, *, has_started: bool) -> float:
         """Return the time-out for the next part of an event stream, in seconds.
 
         Args:
-            has_begun: whether the caller has a part of the response.
+            has_started: whether the caller has a part of the response.
         """
         route = self._call.route
         remaining = self._call.remaining()
         if not route.is_resumable or self._is_last_allowed_run():
             return remaining + _BEYOND_DEADLINE_SECONDS
         pause = route.pause_seconds or DEFAULT_PAUSE_SECONDS
-        first = route.aim_seconds if not has_begun else 0.0
+        first = route.aim_seconds if not has_started else 0.0
         return RESUME_PAUSE_FACTOR * pause + first
 
-    def may_retry(self, *, has_begun: bool) -> bool:
+    def may_retry(self, *, has_started: bool) -> bool:
         """Return whether the request may be retried, the fleet's retry budget apart.
 
         Args:
-            has_begun: whether the caller has a part of the response.
+            has_started: whether the caller has a part of the response.
         """
         route = self._call.route
         if self._call.remaining() < MIN_ATTEMPT_SECONDS or self.attempt_count == 0:
             return False
-        if has_begun and not route.is_resumable:
+        if has_started and not route.is_resumable:
             return False
         if self.may_have_run and not route.is_retryable():
             return False
--- a/packages/damsonlaned/src/damsonlaned/gateway/_attempts.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_attempts.py
@@ -43,7 +43,7 @@
     #: Head of the response.
     head: HttpHead
     #: Signals of the target in the head.
-    signs: ResponseSignals
+    signals: ResponseSignals
 
 
 class Attempts:
@@ -91,7 +91,7 @@
         placed = await self._place_prompt(call, avoid, input_locations)
         return placed or await self._limited_targets.choose(call.service, _find_prompt(call), avoid)
 
-    async def find_begin_wait(self, call: Call) -> NoTarget | None:
+    async def check_admission(self, call: Call) -> NoTarget | None:
         """Return why a request may not begin its stages yet; None if it may begin now."""
         return await self._limited_targets.check_admission(call.service)
 
@@ -108,7 +108,7 @@
             return None
         return self._targets.choose_placed(call.service, placed)
 
-    def find_return_seconds(self, call: Call) -> float:
+    def find_backoff_seconds(self, call: Call) -> float:
         """Return the seconds for which all targets of a request back off; 0 if one does not."""
         return self._targets.find_backoff_seconds(call.service)
 
@@ -176,18 +176,18 @@
         except BaseException:
             exchange.finish()
             raise
-        return OpenedExchange(chosen=chosen, exchange=exchange, head=head, signs=signals)
+        return OpenedExchange(chosen=chosen, exchange=exchange, head=head, signals=signals)
 
     def finish(self, opened: OpenedExchange, health: HealthSignal) -> None:
         """End an attempt: return its connection and record the health of the target."""
         opened.exchange.finish()
         if opened.head.status == 421:
             self._targets.record_misdirected(opened.chosen)
-        if health == "bad" and opened.signs.is_announced_rejection():
+        if health == "bad" and opened.signals.is_announced_rejection():
             # The target is healthy and announced a back-off or a rate limit.  Ejected for three
             # such responses, it would get nothing for longer than it requested.
             health = "neutral"
-        self._targets.finish(opened.chosen, health, load=opened.signs.load)
+        self._targets.finish(opened.chosen, health, load=opened.signals.load)
 
     def finish_unopened(self, chosen: ChosenTarget, health: HealthSignal) -> None:
         """End an attempt without a response."""
--- a/packages/damsonlaned/src/damsonlaned/gateway/_failure_responder.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_failure_responder.py
@@ -33,8 +33,8 @@
             failure: the last attempt.
             backoff_seconds: time until the back-off of one target ends, in seconds.
         """
-        if self._response.has_begun():
-            self._response.cut(failure.detail)
+        if self._response.has_started():
+            self._response.abort(failure.detail)
         elif failure.response is not None:
             self._response.send_failure(failure.response)
         elif self._history.may_have_run:
@@ -80,8 +80,8 @@
 
     def end_timed_out(self) -> None:
         """End a request that reached its deadline."""
-        if self._response.has_begun():
-            self._response.cut("the deadline came in the middle of the answer")
+        if self._response.has_started():
+            self._response.abort("the deadline came in the middle of the answer")
         elif self._history.attempt_count > 0:
             # It was sent, so it may have run.
             self._history.may_have_run = True
--- a/packages/damsonlaned/src/damsonlaned/gateway/_final_response.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_final_response.py
@@ -24,11 +24,11 @@
         #: Reason of the outcome, for logs; empty for a response of a target.
         self.detail = ""
 
-    def has_begun(self) -> bool:
+    def has_started(self) -> bool:
         """Return whether the caller has a part of the response."""
         return self._writer.has_started
 
-    def send_whole(self, response: HttpResponse) -> None:
+    def send_response(self, response: HttpResponse) -> None:
         """Send the response of a target."""
         self._writer.send_response(response)
         self.outcome = "answered"
@@ -55,7 +55,7 @@
         self._writer.finish()
         self.outcome = "answered"
 
-    def cut(self, detail: str) -> None:
+    def abort(self, detail: str) -> None:
         """Abort a stream whose remainder is lost."""
         self.outcome = "cut"
         self.detail = detail
@@ -64,7 +64,7 @@
     def refuse(self, refusal: Refusal) -> None:
         """Send a refusal of this entry, or abort a stream that has begun."""
         if self._writer.has_started:
-            self.cut(refusal.detail)
+            self.abort(refusal.detail)
             return
         self.outcome = f"refused-{refusal.status}"
         self.detail = refusal.detail
--- a/packages/damsonlaned/src/damsonlaned/gateway/_pool_owner.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_pool_owner.py
@@ -152,7 +152,9 @@
         if self._pool_targets.find_backoff_seconds() > 0:
             # Every target backs off: refuse now what would miss its deadline or objective.
             self._refuse(
-                self._queue.take_late(now, self._pool_targets.make_offer(None, service.pool, now))
+                self._queue.take_late(
+                    now, self._pool_targets.find_capacity(None, service.pool, now)
+                )
             )
         warming_up = self._view.list_warming_up(self._service)
         for target in self._pool_targets.list_ready(now):
@@ -179,7 +181,9 @@
         self, target: PoolTarget, properties: PoolProperties, now: float
     ) -> BatchCall | None:
         """Dequeue a batch for a target and return its call; None if no piece fits."""
-        selection = self._queue.select(now, self._pool_targets.make_offer(target, properties, now))
+        selection = self._queue.select(
+            now, self._pool_targets.find_capacity(target, properties, now)
+        )
         self._refuse(selection.late)
         batch = self._isolate_suspects(selection.batch)
         if not batch:
@@ -224,7 +228,7 @@
         service = self._find_service()
         if service is not None and service.pool is not None:
             now = self._now()
-            capacity = self._pool_targets.make_offer(None, service.pool, now)
+            capacity = self._pool_targets.find_capacity(None, service.pool, now)
             # pieces_within_call is 0 while rate limits delay the next call of every target for
             # a long time.
             take = (
@@ -387,7 +391,7 @@
         if service is None or service.pool is None or not targets:
             return 0.0
         now = self._now()
-        capacity = self._pool_targets.make_offer(None, service.pool, now)
+        capacity = self._pool_targets.find_capacity(None, service.pool, now)
         return self._queue.estimate_wait(now, capacity, like)
 
     # Targets.
--- a/packages/damsonlaned/src/damsonlaned/gateway/_pool_targets.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_pool_targets.py
@@ -192,7 +192,7 @@
         ejections = [target.ejected_until - now for target in self._targets.values()]
         return min([*(ejection for ejection in ejections if ejection > 0), REJECTION_PAUSE_SECONDS])
 
-    def make_offer(
+    def find_capacity(
         self, target: PoolTarget | None, properties: PoolProperties, now: float
     ) -> CallCapacity:
         """Return the capacity that a target and the rest of the pool offer to the queue.
--- a/packages/damsonlaned/src/damsonlaned/gateway/_request_handler.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_request_handler.py
@@ -112,7 +112,7 @@
 
         A target that has not begun it yet drops it from its queue, and so does not exit under it.
         """
-        if not self._response.has_begun() and not limit.expired():
+        if not self._response.has_started() and not limit.expired():
             self._is_stopped = True
             limit.reschedule(asyncio.get_running_loop().time())
 
@@ -150,14 +150,14 @@
             if failure.needs_inputs:
                 self._release_results()
             if failure.has_no_target or not self._may_retry():
-                backoff = self._attempts.find_return_seconds(self._call)
+                backoff = self._attempts.find_backoff_seconds(self._call)
                 self._responder.end_failed(failure, max(backoff, failure.return_seconds))
                 return
 
     async def _attempt_once(self) -> FailedAttempt | None:
         """Send the request to one target; return None once the response is complete."""
         if self._results is None:
-            is_begun = self._response.has_begun()
+            is_begun = self._response.has_started()
             self._results = await self._stages.run(self._call, is_begun=is_begun)
             self._times.record_staged()
         chosen = await self._target_wait.find_target(self._results)
@@ -194,7 +194,7 @@
         except TimeoutError:
             detail = "the target did not answer in time"
             return FailedAttempt(detail=detail, may_have_run=True, loss="silent")
-        if opened.signs.is_stream and opened.head.status == 200:
+        if opened.signals.is_stream and opened.head.status == 200:
             return await self._forward_stream(opened)
         return await self._forward_whole(opened)
 
@@ -225,7 +225,7 @@
 
     def _may_retry(self) -> bool:
         """Return whether the request may be retried, and charge the retry budget for it."""
-        if not self._history.may_retry(has_begun=self._response.has_begun()):
+        if not self._history.may_retry(has_started=self._response.has_started()):
             return False
         return self._attempts.try_spend_retry(self._call, self._count_entries())
 
@@ -238,7 +238,7 @@
             health = "good" if opened.head.status < 500 else "bad"
         except IncompleteResponseError as error:
             health = "bad"
-            has_run = not opened.signs.has_not_run
+            has_run = not opened.signals.has_not_run
             return FailedAttempt(detail=str(error), may_have_run=has_run, loss="broken")
         finally:
             self._attempts.finish(opened, health)
@@ -247,21 +247,21 @@
         failure = self._find_failure(opened, response)
         if failure is None:
             self._release_results()
-            self._response.send_whole(response)
+            self._response.send_response(response)
             if response.status < 300:
                 self._quarantine.record_served(self._call.fingerprint)
         return failure
 
     def _find_failure(self, opened: OpenedExchange, response: HttpResponse) -> FailedAttempt | None:
         """Return why a whole response is not passed to the caller, or None if it is."""
-        if opened.signs.has_not_run:
+        if opened.signals.has_not_run:
             return FailedAttempt(
                 detail=f"the target turned it away with {response.status}",
                 may_have_run=False,
                 needs_inputs=response.status == 409,
-                is_throttled=opened.signs.is_announced_rejection(),
+                is_throttled=opened.signals.is_announced_rejection(),
             )
-        if response.status >= 500 or self._response.has_begun():
+        if response.status >= 500 or self._response.has_started():
             return FailedAttempt(
                 detail=f"the target failed with {response.status}",
                 may_have_run=True,
@@ -281,7 +281,7 @@
                     await self._forward_event(opened, event.data, event.event_id)
             if splitter.remainder():
                 raise IncompleteResponseError("the stream ended inside an event")
-            if not self._response.has_begun():
+            if not self._response.has_started():
                 self._response.start(opened.head)
             self._response.finish()
             self._quarantine.record_served(self._call.fingerprint)
@@ -299,7 +299,7 @@
     async def _forward_event(
         self, opened: OpenedExchange, data: bytes, event_id: str | None
     ) -> None:
-        if not self._response.has_begun():
+        if not self._response.has_started():
             # The first event shows that the target has read its inputs.
             self._release_results()
             self._response.start(opened.head)
@@ -322,7 +322,7 @@
         chunks = opened.exchange.body.iter_parts()
         while True:
             try:
-                pause = self._history.pause_seconds(has_begun=self._response.has_begun())
+                pause = self._history.pause_seconds(has_started=self._response.has_started())
                 async with asyncio.timeout(pause):
                     chunk = await anext(chunks)
             except StopAsyncIteration:
--- a/packages/damsonlaned/src/damsonlaned/gateway/_stage_attempt.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_stage_attempt.py
@@ -27,7 +27,7 @@
     #: All results that must be freed.
     held: tuple[HeldResult, ...] = ()
     #: Data centres that hold the last step's inputs.
-    places: tuple[InputLocation, ...] = ()
+    input_locations: tuple[InputLocation, ...] = ()
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -39,28 +39,31 @@
     #: Tracks which stages are done.
     plan: StageProgress
     #: The service that computed each held result, by the result's handle.
-    held: dict[str, str] = field(default_factory=dict)
+    services_by_handle: dict[str, str] = field(default_factory=dict)
 
     def record(self, ready: ReadyStage, piece: int, handle: str) -> None:
         """Record the result of a piece."""
         self.plan.record_result(ready.index, piece, handle)
-        self.held[handle] = ready.stage.service
+        self.services_by_handle[handle] = ready.stage.service
 
     def pop_spent(self, stage: int) -> StageResults:
         """Remove and return the held results that no stage needs after the given one."""
         spent = {
-            handle: self.held.pop(handle)
+            handle: self.services_by_handle.pop(handle)
             for handle in self.plan.releasable_inputs(stage)
-            if handle in self.held
+            if handle in self.services_by_handle
         }
         return _collect(spent)
 
     def collect(self) -> StageResults:
         """Return all held results, without inputs of the last step."""
-        return _collect(self.held)
+        return _collect(self.services_by_handle)
 
 
-def _collect(held: Mapping[str, str]) -> StageResults:
+def _collect(services_by_handle: Mapping[str, str]) -> StageResults:
     return StageResults(
-        held=tuple(HeldResult(handle=handle, service=service) for handle, service in held.items())
+        held=tuple(
+            HeldResult(handle=handle, service=service)
+            for handle, service in services_by_handle.items()
+        )
     )
--- a/packages/damsonlaned/src/damsonlaned/gateway/_stage_orders.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_stage_orders.py
@@ -16,7 +16,7 @@
 
 #: Share of its time after which a request whose stages have begun is served even if
 #: it misses its objective: its caller has waited too long for a retry to succeed.
-GIVE_UP_SHARE: Final = 0.45
+ABANDONABLE_SHARE: Final = 0.45
 #: Latency objective in seconds for the stages of a broken stream that is resumed.  Its
 #: caller is still reading: with the deadline as the objective, its pieces would queue
 #: behind all others, and streams would be lost under load.
@@ -72,7 +72,7 @@
             return ""
         return self._most_common_data_centre(ready.inputs)
 
-    def find_input_places(self, attempt: StageAttempt) -> tuple[InputLocation, ...]:
+    def find_input_locations(self, attempt: StageAttempt) -> tuple[InputLocation, ...]:
         """Return the bytes of the last step's inputs that each data centre holds."""
         sizes: Counter[str] = Counter()
         for index, handles in attempt.plan.final_handles().items():
@@ -114,10 +114,10 @@
             left_seconds=call.deadline_at - now - after.stages - after.first_event,
             aim_left_seconds=aim_left,
             is_late_return=is_late_return,
-            give_up_left_seconds=_give_up_at(call) - now,
+            give_up_left_seconds=_abandonable_until(call) - now,
             rank=call.priority,
             result_bytes=ready.stage.result_bytes,
-            is_begun=call.has_response_begun or bool(attempt.held),
+            is_begun=call.has_response_begun or bool(attempt.services_by_handle),
             fingerprint=call.fingerprint,
             home=home,
         )
@@ -153,11 +153,11 @@
     )
 
 
-def _give_up_at(call: Call) -> float:
+def _abandonable_until(call: Call) -> float:
     """Return until when a request may be refused; one whose answer has begun may not be."""
     if call.has_response_begun:
         return call.arrived_at
-    return call.arrived_at + GIVE_UP_SHARE * (call.deadline_at - call.arrived_at)
+    return call.arrived_at + ABANDONABLE_SHARE * (call.deadline_at - call.arrived_at)
 
 
 def _count_input_bytes(call: Call, ready: ReadyStage) -> int:
--- a/packages/damsonlaned/src/damsonlaned/gateway/_stage_runner.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_stage_runner.py
@@ -125,8 +125,8 @@
             await asyncio.gather(*tasks, return_exceptions=True)
             self.free(attempt.collect())
             raise
-        locations = self._orders.find_input_places(attempt)
-        return replace(attempt.collect(), inputs=plan.final_inputs(), places=locations)
+        locations = self._orders.find_input_locations(attempt)
+        return replace(attempt.collect(), inputs=plan.final_inputs(), input_locations=locations)
 
     async def _run_stage(self, attempt: StageAttempt, ready: ReadyStage) -> int:
         """Run one stage and return its index."""
@@ -190,7 +190,7 @@
             if not future.done():
                 future.cancel()
             elif not future.cancelled() and future.result().handle:
-                attempt.held[future.result().handle] = ready.stage.service
+                attempt.services_by_handle[future.result().handle] = ready.stage.service
 
     def _raise_fault(self, ready: ReadyStage, result: PieceResult) -> NoReturn:
         """Raise the error for a piece that has no result."""
--- a/packages/damsonlaned/src/damsonlaned/gateway/_target_wait.py
+++ b/packages/damsonlaned/src/damsonlaned/gateway/_target_wait.py
@@ -58,7 +58,7 @@
         """Choose a target; wait for one if otherwise work for the request would be lost."""
         while True:
             chosen = await self._attempts.choose(
-                self._call, self._history.tried_targets, results.places
+                self._call, self._history.tried_targets, results.input_locations
             )
             if not isinstance(chosen, NoTarget) or chosen.wait_seconds <= 0:
                 return chosen
@@ -68,7 +68,7 @@
 
     async def _end_if_backed_off(self, results: StageResults | None) -> bool:
         """End the request if all targets back off for too long; return whether it ended."""
-        backoff = self._attempts.find_return_seconds(self._call)
+        backoff = self._attempts.find_backoff_seconds(self._call)
         # The duration of the stages is estimated only where it matters, since that is expensive.
         if backoff <= 0 or backoff <= self._expected_stage_seconds(results):
             return False
@@ -83,10 +83,10 @@
 
         Otherwise its stages would be computed in vain.
         """
-        is_begun = results is not None or self._response.has_begun()
+        is_begun = results is not None or self._response.has_started()
         if is_begun or not self._stages.has_stages(self._call):
             return False
-        limited = await self._attempts.find_begin_wait(self._call)
+        limited = await self._attempts.check_admission(self._call)
         if limited is None:
             return False
         self._responder.end_failed(make_no_target_failure(limited), limited.return_seconds)
@@ -98,11 +98,11 @@
 
     def _has_progress(self, results: StageResults | None) -> bool:
         """Return whether refusing the request would lose stage results or a begun response."""
-        return (results is not None and bool(results.inputs)) or self._response.has_begun()
+        return (results is not None and bool(results.inputs)) or self._response.has_started()
 
     def _max_wait_seconds(self) -> float:
         """Return for how long the request may wait for a target."""
-        if self._response.has_begun():
+        if self._response.has_started():
             return self._call.remaining()
         return self._call.objective_at - asyncio.get_running_loop().time()
 
--- a/packages/damsonlaned/src/damsonlaned/targets/_calls.py
+++ b/packages/damsonlaned/src/damsonlaned/targets/_calls.py
@@ -16,8 +16,8 @@
     Connections,
     LateError,
     TargetAnnouncement,
+    read_announcement,
     read_load,
-    read_notice,
 )
 
 
@@ -83,7 +83,7 @@
             return _make_failure("unsent", error)
         except SENT_ERRORS as error:
             return _make_failure("failed", error)
-        on_announcement(read_notice(response))
+        on_announcement(read_announcement(response))
         try:
             return (yield from self._read_response(response, call))
         except (*SENT_ERRORS, ValueError, KeyError, TypeError) as error:
@@ -114,7 +114,7 @@
             response.release_conn()
             is_broken = result.outcome == "failed" and result.answers is None
             return TargetReply(result=result, load_report=report, is_interrupted=is_broken)
-        is_draining = read_notice(response).is_draining
+        is_draining = read_announcement(response).is_draining
         response.drain_conn()
         response.release_conn()
         is_rejected = response.status in REJECTING_STATUSES
--- a/packages/damsonlaned/src/damsonlaned/targets/_connections.py
+++ b/packages/damsonlaned/src/damsonlaned/targets/_connections.py
@@ -133,7 +133,7 @@
         yield chunk
 
 
-def read_notice(response: urllib3.BaseHTTPResponse) -> TargetAnnouncement:
+def read_announcement(response: urllib3.BaseHTTPResponse) -> TargetAnnouncement:
     """Return what a target announces in the headers of a response, besides its load."""
     headers = response.headers
     seconds = 0.0
