--- a/packages/damsonlane_rpc/src/damsonlane_rpc/_client.py
+++ b/packages/damsonlane_rpc/src/damsonlane_rpc/_client.py
@@ -83,7 +83,7 @@
     async def _create_connection(self) -> H2Protocol:
         protocol = await asyncio.wait_for(super()._create_connection(), self.connect_seconds)
         if protocol.connection.is_closing():
-            raise ConnectionResetError("the peer closed the connection immediately")
+            raise ConnectionResetError("the other side closed the connection at once")
         transport = protocol.connection._transport
         connection = transport.get_extra_info("socket")
         if connection is not None:
@@ -264,7 +264,7 @@
                     break
             await asyncio.sleep(min(ROUND_PAUSE_SECONDS, max(0.0, deadline - loop.time())))
         raise UnavailableError(
-            f"control could not confirm an answer in time; last error: {last_error}"
+            f"control could not confirm an answer in time; last: {last_error}"
         )
 
     async def _call_one(
