--- a/packages/damsonlane_rpc/src/damsonlane_rpc/_client.py
+++ b/packages/damsonlane_rpc/src/damsonlane_rpc/_client.py
@@ -263,9 +263,7 @@
                 if self._leader:
                     break
             await asyncio.sleep(min(ROUND_PAUSE_SECONDS, max(0.0, deadline - loop.time())))
-        raise UnavailableError(
-            f"control could not confirm an answer in time; last: {last_error}"
-        )
+        raise UnavailableError(f"control could not confirm an answer in time; last: {last_error}")
 
     async def _call_one(
         self, method: Method[Request, Answer], address: str, request: Request, timeout: float
